--- a/packages/fleet/src/budget.ts
+++ b/packages/fleet/src/budget.ts
@@ -1,50 +1,52 @@
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-    /** Repeated sends allowed for each request, over all VMs. */
+    /** Retries allowed for each request, over all VMs. */
     readonly ratio: number;
-    /** Further repeated sends allowed in one window, over all VMs together. */
+    /** Further retries allowed in one window, over all VMs together. */
     readonly slack: number;
     readonly windowMs: number;
 }
 
 /**
- * Part of the shared ratio that is used. The rest covers requests counted in another window than their repeats.
- * A tenth is the share of a 10 s window that one second of clock difference between VMs moves.
+ * Part of the shared ratio that VMs use. The rest covers requests that are counted in another window than their
+ * retries: a clock difference of 1 s between VMs moves a tenth of a 10 s window.
  */
-const ratioUsed = 0.9;
+const usableRatioShare = 0.9;
 
 /**
- * One VM's share of a retry budget that all VMs of a deployment keep together without talking to each other: repeats in
- * any window stay under `ratio` times this VM's own requests plus its part of the slack. The sum over VMs keeps the whole.
+ * One VM's share of a retry budget that all VMs of a deployment keep together without exchanging messages. The retries
+ * of this VM in any window stay under `ratio` times its own requests plus its part of the slack, so that the sum over
+ * all VMs stays within the whole budget.
  */
 export class RetryBudget {
     private readonly requests: number[] = [];
-    private readonly repeats: number[] = [];
+    private readonly retries: number[] = [];
 
     constructor(private readonly options: RetryBudgetOptions) {}
 
-    /** Counts one request of a caller. */
+    /** Counts a caller's request. */
     recordRequest(now: number): void {
         this.requests.push(now);
         this.expireOld(now);
     }
 
     /**
-     * Takes one repeated send out of the budget, if there is room.
-     * @param vmCount Most VMs that may be sending in this window.
+     * Takes one retry from the budget.
+     * @param vmCount Upper bound of the VMs that send in this window.
+     * @returns Whether the budget allows the retry.
      */
     claimRepeat(now: number, vmCount: number): boolean {
         this.expireOld(now);
-        if (this.repeats.length + 1 > this.countAllowed(vmCount)) {
+        if (this.retries.length + 1 > this.countAllowed(vmCount)) {
             return false;
         }
-        this.repeats.push(now);
+        this.retries.push(now);
         return true;
     }
 
     private countAllowed(vmCount: number): number {
         const { ratio, slack } = this.options;
-        return ratio * ratioUsed * this.requests.length + slack / Math.max(1, vmCount);
+        return ratio * usableRatioShare * this.requests.length + slack / Math.max(1, vmCount);
     }
 
     private expireOld(now: number): void {
@@ -52,8 +54,8 @@
         while (this.requests[0] !== undefined && this.requests[0] < from) {
             this.requests.shift();
         }
-        while (this.repeats[0] !== undefined && this.repeats[0] < from) {
-            this.repeats.shift();
+        while (this.retries[0] !== undefined && this.retries[0] < from) {
+            this.retries.shift();
         }
     }
 }
--- a/packages/fleet/src/quota.ts
+++ b/packages/fleet/src/quota.ts
@@ -1,73 +1,77 @@
 /**
- * Part of what the operator allows beyond a quota that an account may overdraw its balance by: single large requests, and bursts right
- * after a change of coordinator. The rest is left for shares that two coordinators hold for a moment, and requests that begin late.
+ * Part of the operator's tolerance beyond a quota by which an account may overdraw its balance. The overdraft serves
+ * single large requests, and bursts right after a change of coordinator. The rest of the tolerance covers shares that
+ * two coordinators hold at the same time for a moment, and requests that start late.
  */
 const overdraftShare = 0.4;
 
-/** A coordinator that holds at least this part of all shares can tell an account that it is over its limit. */
-const certainShare = 0.9;
+/** Part of all shares from which on a coordinator can refuse an account for exceeding its limit. */
+const minCertainShare = 0.9;
 
-/** Fall of the shares after which balances are bounded by what is left, as a part of all shares. */
-const shareStep = 0.05;
+/** Decrease of the held shares at which balances are limited to the remaining ones, as a part of all shares. */
+const boundUpdateStep = 0.05;
 
 /** Shortest and longest lease of a share, in milliseconds. */
 const minLeaseMs = 300;
 const maxLeaseMs = 2000;
 
-/** Longest time after which a caller is told to come back, in milliseconds. */
+/** Longest time after which a refused caller is asked to retry, in milliseconds. */
 const maxWaitMs = 3000;
 
-/** What the operator allows beyond the quotas. */
+/** The operator's tolerance beyond the quotas. */
 export interface QuotaBounds {
-    /** Time over which use is counted, in milliseconds. */
+    /** Window over which usage is counted, in milliseconds. */
     readonly windowMs: number;
-    /** Part by which use within that time may exceed a quota. */
+    /** Part of a quota by which the usage within the window may exceed it. */
     readonly overage: number;
-    /** What may be used within that time beyond that, in units of the quotas. */
+    /** Usage that is allowed within the window beyond that, in units of the quotas. */
     readonly slack: number;
 }
 
-/** How much one account may use, in units of its quota. */
+/** Rate and burst of one client account, in units of its quota. */
 export interface QuotaLimit {
     readonly perSecond: number;
     readonly burst: number;
 }
 
-/** What became of a claim on a quota. */
+/** Result of a claim on a quota. */
 export type QuotaVerdict =
     | { readonly kind: "granted"; readonly balance: number; }
-    /** The account is over its limit; after this time it may be below, or never for a request as large, in milliseconds. */
+    /**
+     * The account is over its limit. `waitMs` is the time until a retry may succeed; undefined for a request that is
+     * too large.
+     */
     | { readonly kind: "refused"; readonly balance: number; readonly waitMs?: number | undefined; }
-    /** The coordinator holds too few shares, or has held them for too short, to know. */
+    /** The coordinator cannot decide: it holds too few shares, or has not held them for long enough. */
     | { readonly kind: "unsure"; };
 
-/** One account's quota at a coordinator. */
+/** Token bucket of one account at a coordinator. */
 interface Balance {
     amount: number;
-    /** Reading of the pool's {@link QuotaPool.filledSeconds} when `amount` was last brought up to date. */
+    /** Value of the pool's {@link QuotaPool.filledSeconds} at the last update of `amount`. */
     filledAt: number;
     burst: number;
-    /** What refused callers were told to come back for. */
-    promised: number;
+    /** Total cost of refused requests whose callers were asked to retry. */
+    deferredCost: number;
 }
 
 /** Options of {@link QuotaPool}. */
 export interface QuotaPoolOptions {
     readonly bounds: QuotaBounds;
-    /** VMs that exist, as far as is known: each holds an equal share of all quotas. */
+    /** Counts the known VMs: each holds an equal share of all quotas. */
     readonly countVms: () => number;
 }
 
-/** How long a VM's share is leased, in milliseconds: two coordinators may both count it for so long. */
+/** Lease duration of a VM's share, in milliseconds. Two coordinators may both count the share for at most this time. */
 export function readShareLeaseMs({ overage, windowMs }: QuotaBounds): number {
     return Math.min(Math.max(overage * windowMs, minLeaseMs), maxLeaseMs);
 }
 
 /**
- * The quotas of a group of accounts, as one coordinator keeps them. Each VM leases its equal share of the quotas to one
- * coordinator at a time, and a coordinator grants no more than the shares that it holds: in a cut each side uses what its
- * own VMs bring, and after a loss of all VMs balances begin at nothing. Time is boot time: a coordinator that was suspended
- * finds its leases lapsed.
+ * The quotas of a group of accounts at one coordinator. Each VM leases its equal share of the quotas to one coordinator
+ * at a time, and a coordinator grants no more than the shares that it holds. In a network partition each side uses the
+ * shares of its own VMs, and after a loss of all VMs balances start at 0. Times are boot time, so the leases of a
+ * coordinator that was suspended have expired.
  */
 export class QuotaPool {
     private readonly leases = new Map<string, number>();
@@ -75,11 +79,14 @@
     /** Integral of the share over time, in seconds of the whole quotas. */
     private filledSeconds = 0;
     private advancedAt = -Infinity;
-    /** The share to which balances are bounded; see {@link shareStep}. */
+    /** The share of their bursts to which balances are limited; see {@link boundUpdateStep}. */
     private boundShare = 0;
-    /** Reading of {@link filledSeconds} from which accounts that have no balance yet are filled. */
-    private emptyAt = 0;
-    /** Reading of {@link filledSeconds} since which the coordinator has held nearly all shares; undefined while it has not. */
+    /** Value of {@link filledSeconds} from which the balances of new accounts are filled. */
+    private newBalancesFilledAt = 0;
+    /**
+     * Value of {@link filledSeconds} since which the coordinator has held nearly all shares; undefined while it does
+     * not.
+     */
     private certainSince: number | undefined;
     private readonly leaseMs: number;
 
@@ -87,21 +94,21 @@
         this.leaseMs = readShareLeaseMs(options.bounds);
     }
 
-    /** Takes a VM's share, or holds it for longer. */
+    /** Leases a VM's share, or renews its lease. */
     lease(vm: string, now: number): void {
         this.advance(now);
         this.leases.set(vm, now + this.leaseMs);
         this.updateShare(now);
     }
 
-    /** Gives a VM's share back. */
+    /** Ends the lease of a VM's share. */
     release(vm: string, now: number): void {
         this.advance(now);
         this.leases.delete(vm);
         this.updateShare(now);
     }
 
-    /** Part of all shares that is held, from 0 to 1. */
+    /** Part of all shares that the coordinator holds, from 0 to 1. */
     readShare(now: number): number {
         let held = 0;
         for (const until of this.leases.values()) {
@@ -110,7 +117,7 @@
         return Math.min(1, held / Math.max(1, this.options.countVms()));
     }
 
-    /** Takes a request's cost off its account's quota, if there is enough. */
+    /** Deducts a request's cost from its account's balance, if the balance allows it. */
     claim(account: string, limit: QuotaLimit, cost: number, now: number): QuotaVerdict {
         this.advance(now);
         const share = this.readShare(now);
@@ -127,13 +134,13 @@
         if (cost > largest) {
             return { kind: "refused", balance: balance.amount, waitMs: undefined };
         }
-        balance.promised += cost;
-        const missing = balance.promised - balance.amount - overdraft;
+        balance.deferredCost += cost;
+        const missing = balance.deferredCost - balance.amount - overdraft;
         const waitMs = Math.min(Math.max(0, missing) / limit.perSecond * 1000, maxWaitMs);
         return { kind: "refused", balance: balance.amount, waitMs };
     }
 
-    /** Takes back what a request was granted that has not run. */
+    /** Refunds the cost of a request that was granted but has not run. */
     addBack(account: string, cost: number): void {
         const balance = this.balances.get(account);
         if (balance !== undefined) {
@@ -141,7 +148,7 @@
         }
     }
 
-    /** Forgets the balances of accounts that are gone. */
+    /** Removes the balances of accounts that no longer exist. */
     removeAccounts(isGone: (account: string) => boolean): void {
         for (const account of this.balances.keys()) {
             if (isGone(account)) {
@@ -150,20 +157,20 @@
         }
     }
 
-    /** What an account may use within a window beyond its quota. */
+    /** Usage beyond its quota that an account is allowed within a window. */
     private readTolerance({ perSecond, burst }: QuotaLimit): number {
         const { windowMs, overage, slack } = this.options.bounds;
         return (perSecond * windowMs / 1000 + burst) * overage + slack;
     }
 
-    /** Whether the coordinator has held nearly all shares for as long as a spent burst takes to come back. */
+    /** Whether the coordinator has held nearly all shares for the time in which a used-up burst refills. */
     private isCertain({ perSecond, burst }: QuotaLimit): boolean {
         return this.certainSince !== undefined && this.filledSeconds - this.certainSince >= burst / perSecond;
     }
 
     /**
-     * Counts the time since the last call with the shares that are held still: one that has lapsed meanwhile may have been
-     * leased to another coordinator at any moment of that time.
+     * Fills the time since the last call with the shares that are still held: a share whose lease has expired since may
+     * have been leased to another coordinator at any moment of that time.
      */
     private advance(now: number): void {
         const share = this.readShare(now);
@@ -176,7 +183,7 @@
 
     private updateShare(now: number): void {
         const share = this.readShare(now);
-        if (share < certainShare) {
+        if (share < minCertainShare) {
             this.certainSince = undefined;
         }
         else {
@@ -185,15 +192,15 @@
         if (share > this.boundShare) {
             this.boundShare = share;
         }
-        else if (share < this.boundShare - shareStep) {
+        else if (share < this.boundShare - boundUpdateStep) {
             this.updateBound(share);
         }
     }
 
-    /** What was held for VMs that now ask elsewhere must not be there still when they come back. */
+    /** Limits balances, so that shares that VMs lease elsewhere do not still count here when those VMs return. */
     private updateBound(share: number): void {
         this.boundShare = share;
-        this.emptyAt = this.filledSeconds;
+        this.newBalancesFilledAt = this.filledSeconds;
         for (const balance of this.balances.values()) {
             balance.amount = Math.min(balance.amount, balance.burst * share);
         }
@@ -201,10 +208,10 @@
 
     private updateBalance(account: string, limit: QuotaLimit, share: number): Balance {
         const known = this.balances.get(account);
-        const balance = known ?? { amount: 0, filledAt: this.emptyAt, burst: limit.burst, promised: 0 };
+        const balance = known ?? { amount: 0, filledAt: this.newBalancesFilledAt, burst: limit.burst, deferredCost: 0 };
         const filled = (this.filledSeconds - balance.filledAt) * limit.perSecond;
         balance.amount = Math.min(limit.burst * share, balance.amount + filled);
-        balance.promised = Math.max(0, balance.promised - filled);
+        balance.deferredCost = Math.max(0, balance.deferredCost - filled);
         balance.filledAt = this.filledSeconds;
         balance.burst = limit.burst;
         this.balances.set(account, balance);
--- a/packages/fleet/test/budget.test.ts
+++ b/packages/fleet/test/budget.test.ts
@@ -5,7 +5,7 @@
 
 const windowMs = 10_000;
 
-test("the repeats of all VMs stay under the shared budget in every window", () => {
+test("the retries of all VMs together stay within the budget in every window", () => {
     const action = fc.record({ vm: fc.nat(6), waitMs: fc.nat(300), isRequest: fc.boolean() });
     fc.assert(
         fc.property(fc.array(action, { maxLength: 400 }), actions => {
@@ -31,7 +31,7 @@
     );
 });
 
-test("a VM alone gets the whole slack, and more requests give more repeats", () => {
+test("a single VM gets the whole slack, and its requests increase its budget", () => {
     const budget = new RetryBudget({ ratio: 0.2, slack: 2, windowMs });
     assert.equal([1, 2, 3].map(now => budget.claimRepeat(now, 1)), [true, true, false]);
     for (let now = 10; now < 30; now++) {
