--- a/packages/fleet/src/permits.ts
+++ b/packages/fleet/src/permits.ts
@@ -1,55 +1,55 @@
-/** A run that is allowed and not reported as ended for this long is taken to be over, in milliseconds: its VM is gone. */
-const usualLifeMs = 20_000;
+/** A permit that was not released expires after this time, in milliseconds: its VM is assumed to be gone. */
+const defaultLifeMs = 20_000;
 
-/** Who runs a suspected request. */
+/** The VM and the ticket that may run a suspect request. */
 interface Permit {
     readonly vm: string;
     readonly ticket: number;
-    readonly since: number;
+    readonly grantedAt: number;
 }
 
 /** Options of {@link PermitReferee}. */
 export interface PermitRefereeOptions {
-    /** How long a permit lasts at most, in milliseconds. @default 20000 */
+    /** Longest life of a permit, in milliseconds. @default 20000 */
     readonly lifeMs?: number | undefined;
 }
 
 /**
- * Lets a suspected request run at one upstream at a time, over all VMs: several copies of it that come at once at several VMs
- * would otherwise end as many upstreams before the first end is known.
+ * Lets a suspect request run at one upstream at a time, over all VMs. Otherwise several copies that arrive at several
+ * VMs at once would end as many upstreams before the first end is known.
  */
 export class PermitReferee {
     private readonly permits = new Map<string, Permit>();
     private readonly lifeMs: number;
 
     constructor({ lifeMs }: PermitRefereeOptions = {}) {
-        this.lifeMs = lifeMs ?? usualLifeMs;
+        this.lifeMs = lifeMs ?? defaultLifeMs;
     }
 
-    /** Requests that are being tried. */
+    /** Suspect requests that hold a permit. */
     get permitCount(): number {
         return this.permits.size;
     }
 
-    /** @returns Whether the asker may run the request now. */
+    /** @returns Whether the VM may run the request under this ticket now. */
     claim(request: string, vm: string, ticket: number, now: number): boolean {
-        const known = this.permits.get(request);
-        const isOther = known !== undefined && (known.vm !== vm || known.ticket !== ticket);
-        if (isOther && now - known.since < this.lifeMs) {
+        const current = this.permits.get(request);
+        const isOther = current !== undefined && (current.vm !== vm || current.ticket !== ticket);
+        if (isOther && now - current.grantedAt < this.lifeMs) {
             return false;
         }
-        this.permits.set(request, { vm, ticket, since: now });
+        this.permits.set(request, { vm, ticket, grantedAt: now });
         return true;
     }
 
     release(request: string, vm: string, ticket: number): void {
-        const known = this.permits.get(request);
-        if (known?.vm === vm && known.ticket === ticket) {
+        const current = this.permits.get(request);
+        if (current?.vm === vm && current.ticket === ticket) {
             this.permits.delete(request);
         }
     }
 
-    /** A VM is gone, and what it ran with it. */
+    /** Drops the permits of a VM that is gone. */
     removeVm(vm: string): void {
         for (const [request, permit] of this.permits) {
             if (permit.vm === vm) {
@@ -59,8 +59,8 @@
     }
 
     expireOld(now: number): void {
-        for (const [request, { since }] of this.permits) {
-            if (now - since >= this.lifeMs) {
+        for (const [request, { grantedAt }] of this.permits) {
+            if (now - grantedAt >= this.lifeMs) {
                 this.permits.delete(request);
             }
         }
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -1,49 +1,52 @@
 import * as z from "zod";
 
-/** Upstreams that must have ended under one request before it is refused, as the users ask. */
-const usualMaxEnds = 3;
+/** Upstreams that must have ended while they ran a request before the request is refused. */
+const defaultMaxEnds = 3;
 
 /**
- * How long an end counts against a request, and how long one is refused after the last, in milliseconds: long enough that a
- * caller who repeats it every few minutes cannot end upstreams all day, and short enough that a mended one takes it again.
+ * Time for which an upstream's end counts against a request, and for which a request is refused after the last end, in
+ * milliseconds. Long enough that a caller who repeats a request every few minutes cannot end upstreams all day, and
+ * short enough that a repaired upstream soon gets the request again.
  */
-const usualLifeMs = 1_800_000;
+const defaultLifeMs = 1_800_000;
 
 /**
- * How long a report is told to each VM that a link opens to, in milliseconds. Older ones are told if a request is refused for
- * them; the store has all.
+ * Age up to which reports are sent to a VM when a link to it opens, in milliseconds. Older reports are sent only if a
+ * request is refused because of them; the store has all reports.
  */
-const recentMs = 60_000;
+const recentReportMs = 60_000;
 
-/** Most requests that are kept; some 5 MB. */
-const usualMaxRequests = 20_000;
+/** Most requests that are tracked; they take some 5 MB. */
+const defaultMaxRequests = 20_000;
 
-/** One process of an upstream that has ended, and the requests of one VM that may have ended it. */
+/** The end of an upstream process, and the requests of one VM that may have caused it. */
 export const crashSchema = z.object({
-    /** Incarnation. */
+    /** Id of the upstream's incarnation. */
     upstream: z.string(),
-    /** Unix time in milliseconds, by the clock of the VM that saw it. */
+    /** Unix time in milliseconds, by the clock of the VM that noticed the end. */
     at: z.number(),
-    /** Digests of the requests. */
+    /** Digests of the suspect requests. */
     requests: z.array(z.string()),
 });
 
 /** See {@link crashSchema}. */
 export type Crash = z.infer<typeof crashSchema>;
 
-/** A request that was answered whole: what ended before did not end by it. */
+/** A request with a complete response: it did not cause the ends before that. */
 export const clearanceSchema = z.object({
     request: z.string(),
-    /** Unix time in milliseconds. Ends up to then do not count. */
+    /** Unix time in milliseconds. Ends up to this time do not count against the request. */
     at: z.number(),
 });
 
 /** See {@link clearanceSchema}. */
 export type Clearance = z.infer<typeof clearanceSchema>;
 
-/** What one VM has seen. It is never changed, so that it may come on several ways and in any order. */
+/**
+ * Crashes and clearances from one VM. Reports are immutable, so they may arrive over several paths and in any order.
+ */
 export const crashReportSchema = z.object({
-    /** Of all reports, of all VMs and their lives, only one bears this name. */
+    /** Unique among the reports of all VMs and their incarnations. */
     name: z.string(),
     crashes: z.array(crashSchema),
     clearances: z.array(clearanceSchema),
@@ -52,85 +55,86 @@
 /** See {@link crashReportSchema}. */
 export type CrashReport = z.infer<typeof crashReportSchema>;
 
-/** What is known against a request. */
+/** Whether a request is suspected of ending upstreams, or refused for it. */
 export type RequestVerdict =
     | { readonly kind: "unknown"; }
     | { readonly kind: "suspected"; readonly upstreams: readonly string[]; }
-    /** Each upstream that ran it has ended. */
+    /** Every upstream that ran the request has ended. */
     | { readonly kind: "refused"; readonly upstreams: readonly string[]; readonly until: number; };
 
-/** A request that is refused. */
+/** A refused request, and the upstreams that ended while they ran it. */
 export interface RefusedRequest {
-    /** Digest. */
+    /** Digest of the request. */
     readonly request: string;
-    /** Upstreams that have ended under it. */
+    /** Ids of the upstream incarnations. */
     readonly upstreams: readonly string[];
-    /** Unix time in milliseconds. */
+    /** End of the refusal, in Unix time in milliseconds. */
     readonly until: number;
 }
 
 /** Options of {@link Quarantine}. */
 export interface QuarantineOptions {
-    /** Upstreams that must have ended under a request before it is refused. @default 3 */
+    /** Upstreams that must have ended while they ran a request before the request is refused. @default 3 */
     readonly maxEnds?: number | undefined;
-    /** How long an end counts, in milliseconds. @default 1800000 */
+    /** Time for which an upstream's end counts, in milliseconds. @default 1800000 */
     readonly lifeMs?: number | undefined;
-    /** Most requests that are kept. @default 20000 */
+    /** Most requests that are tracked. @default 20000 */
     readonly maxRequests?: number | undefined;
 }
 
-/** What is kept of one request: when each upstream ended under it. */
-type Ends = Map<string, number>;
+/** When each upstream ended while it ran a request: Unix time in milliseconds by upstream id. */
+type CrashTimes = Map<string, number>;
 
 const unknownVerdict: RequestVerdict = { kind: "unknown" };
 
 /**
- * Finds requests that end each upstream that runs them. All that run when an upstream ends are suspected; one of them is
- * refused once several upstreams have ended under it and none has answered it whole in between. What has been answered
- * whole anywhere is cleared, so that a request that many send is not condemned for upstreams that end for other reasons.
+ * Detects poison requests: requests that end every upstream that runs them. All requests that run when an upstream ends
+ * are suspected. A request is refused once several upstreams have ended while they ran it, with no complete response in
+ * between. A complete response from any upstream clears the request, so that a request that many callers send is not
+ * quarantined for upstreams that end for other reasons.
  *
- * Reports of all VMs are joined in any order to the same verdicts.
+ * Merging the reports of all VMs gives the same verdicts in any order.
  */
 export class Quarantine {
     private readonly maxEnds: number;
     private readonly lifeMs: number;
     private readonly maxRequests: number;
     private readonly reports = new Map<string, CrashReport>();
-    private readonly ends = new Map<string, Ends>();
+    private readonly crashTimes = new Map<string, CrashTimes>();
     private readonly clearedAt = new Map<string, number>();
-    /** How many of the kept requests have this head of their digest. */
-    private readonly heads = new Map<string, number>();
+    /** Number of tracked requests by head of their digest. */
+    private readonly digestHeads = new Map<string, number>();
     private dropped = 0;
 
     constructor({ maxEnds, lifeMs, maxRequests }: QuarantineOptions = {}) {
-        this.maxEnds = maxEnds ?? usualMaxEnds;
-        this.lifeMs = lifeMs ?? usualLifeMs;
-        this.maxRequests = maxRequests ?? usualMaxRequests;
+        this.maxEnds = maxEnds ?? defaultMaxEnds;
+        this.lifeMs = lifeMs ?? defaultLifeMs;
+        this.maxRequests = maxRequests ?? defaultMaxRequests;
     }
 
-    /** Requests under which upstreams have ended. */
+    /** Tracked requests: those that ran when an upstream ended. */
     get requestCount(): number {
-        return this.ends.size;
+        return this.crashTimes.size;
     }
 
-    /** Requests that were forgotten for want of room. */
+    /** Tracked requests that were dropped because the limit was reached. */
     get droppedCount(): number {
         return this.dropped;
     }
 
-    /** Whether anything may be known of a request whose digest begins so. */
+    /** Whether a request whose digest has this head may be tracked. */
     mayKnow(head: string): boolean {
-        return this.heads.has(head);
+        return this.digestHeads.has(head);
     }
 
-    /** @param now Unix time in milliseconds, here and below. @returns Requests against which this counts anew. */
+    /** @param now Unix time in milliseconds, here and below. @returns Requests against which the crash newly counts. */
     applyCrash({ upstream, at, requests }: Crash, now: number): string[] {
-        // An end cannot be ahead of now: a VM whose clock is set forward must not make it last longer.
+        // Times are limited to the present: a VM with a fast clock must not make its reports count for longer.
         const endedAt = Math.min(at, now);
-        return at + this.lifeMs <= now ? [] : requests.filter(request => this.addEnd(request, upstream, endedAt));
+        return at + this.lifeMs <= now ? [] : requests.filter(request => this.addCrash(request, upstream, endedAt));
     }
 
-    /** @returns Whether it says anything new. */
+    /** @returns Whether the clearance is newer than the known one. */
     applyClearance({ request, at }: Clearance, now: number): boolean {
         if (at + this.lifeMs <= now || at <= (this.clearedAt.get(request) ?? 0)) {
             return false;
@@ -139,14 +143,14 @@
         return true;
     }
 
-    /** Keeps a report of this VM, whose contents have been applied already. */
+    /** Stores a report of this VM whose crashes and clearances have already been applied. */
     addReport(report: CrashReport): void {
         this.reports.set(report.name, report);
     }
 
-    /** @returns Whether the report was not known, and is not too old to matter. */
+    /** @returns Whether the report is new and has not expired. */
     applyReport(report: CrashReport, now: number): boolean {
-        if (this.reports.has(report.name) || this.isOld(report, now)) {
+        if (this.reports.has(report.name) || this.isExpired(report, now)) {
             return false;
         }
         this.reports.set(report.name, report);
@@ -159,23 +163,23 @@
         return true;
     }
 
-    /** What a VM must know that cannot read the store. */
+    /** Reports to send to a VM that cannot read the store. */
     listReports(now: number): CrashReport[] {
-        return [...this.reports.values()].filter(report => this.isCurrent(report, now));
+        return [...this.reports.values()].filter(report => this.isRelevant(report, now));
     }
 
     hasReport(name: string): boolean {
         return this.reports.has(name);
     }
 
-    /** Whether a report is so old that its own VM should have dropped it. */
+    /** Whether a report is so old that the VM that wrote it should have removed it. */
     isForgotten(report: CrashReport, now: number): boolean {
-        return this.isOld(report, now - this.lifeMs);
+        return this.isExpired(report, now - this.lifeMs);
     }
 
     findVerdict(request: string, now: number): RequestVerdict {
         const clearedAt = this.clearedAt.get(request) ?? -Infinity;
-        const counted = [...this.ends.get(request) ?? []]
+        const counted = [...this.crashTimes.get(request) ?? []]
             .filter(([, at]) => at > clearedAt && at + this.lifeMs > now);
         if (counted.length === 0) {
             return unknownVerdict;
@@ -187,10 +191,10 @@
         return { kind: "refused", upstreams, until: Math.max(...counted.map(([, at]) => at)) + this.lifeMs };
     }
 
-    /** Requests that are refused, and why. */
+    /** Refused requests, with the upstreams that ended while they ran them. */
     listRefused(now: number): RefusedRequest[] {
         const refused: RefusedRequest[] = [];
-        for (const request of this.ends.keys()) {
+        for (const request of this.crashTimes.keys()) {
             const verdict = this.findVerdict(request, now);
             if (verdict.kind === "refused") {
                 refused.push({ request, upstreams: verdict.upstreams, until: verdict.until });
@@ -199,20 +203,20 @@
         return refused;
     }
 
-    /** A clearance that covers all ends that are known. */
+    /** Creates a clearance that covers all known ends. */
     createClearance(request: string, now: number): Clearance {
-        return { request, at: Math.max(now, ...this.ends.get(request)?.values() ?? []) };
+        return { request, at: Math.max(now, ...this.crashTimes.get(request)?.values() ?? []) };
     }
 
-    /** Forgets what no longer counts. */
+    /** Removes ends, clearances and reports that no longer count. */
     expireOld(now: number): void {
-        for (const [request, ends] of this.ends) {
-            for (const [upstream, at] of ends) {
+        for (const [request, crashTimes] of this.crashTimes) {
+            for (const [upstream, at] of crashTimes) {
                 if (at + this.lifeMs <= now) {
-                    ends.delete(upstream);
+                    crashTimes.delete(upstream);
                 }
             }
-            if (ends.size === 0) {
+            if (crashTimes.size === 0) {
                 this.removeRequest(request);
             }
         }
@@ -222,74 +226,74 @@
             }
         }
         for (const report of this.reports.values()) {
-            if (this.isOld(report, now)) {
+            if (this.isExpired(report, now)) {
                 this.reports.delete(report.name);
             }
         }
     }
 
-    private isCurrent(report: CrashReport, now: number): boolean {
-        const isRecent = [...report.crashes, ...report.clearances].some(({ at }) => at + recentMs > now);
+    private isRelevant(report: CrashReport, now: number): boolean {
+        const isRecent = [...report.crashes, ...report.clearances].some(({ at }) => at + recentReportMs > now);
         return isRecent
             || report.crashes.some(({ requests }) =>
                 requests.some(request => this.findVerdict(request, now).kind === "refused")
             );
     }
 
-    private isOld({ crashes, clearances }: CrashReport, now: number): boolean {
+    private isExpired({ crashes, clearances }: CrashReport, now: number): boolean {
         return [...crashes, ...clearances].every(({ at }) => at + this.lifeMs <= now);
     }
 
-    private addEnd(request: string, upstream: string, at: number): boolean {
-        const ends = this.ends.get(request) ?? this.addRequest(request);
-        const known = ends.get(upstream);
-        // VMs notice an end at different times: the latest counts on all, in whatever order they hear of it.
-        ends.set(upstream, Math.max(at, known ?? 0));
+    private addCrash(request: string, upstream: string, at: number): boolean {
+        const crashTimes = this.crashTimes.get(request) ?? this.addRequest(request);
+        const known = crashTimes.get(upstream);
+        // VMs notice an end at different times. All of them use the latest, in whatever order the reports arrive.
+        crashTimes.set(upstream, Math.max(at, known ?? 0));
         return known === undefined;
     }
 
-    private addRequest(request: string): Ends {
-        if (this.ends.size >= this.maxRequests) {
+    private addRequest(request: string): CrashTimes {
+        if (this.crashTimes.size >= this.maxRequests) {
             this.dropped += 1;
-            this.removeRequest(this.findLeast());
+            this.removeRequest(this.findEvictionCandidate());
         }
-        const ends: Ends = new Map();
-        this.ends.set(request, ends);
-        const head = readHead(request);
-        this.heads.set(head, (this.heads.get(head) ?? 0) + 1);
-        return ends;
+        const crashTimes: CrashTimes = new Map();
+        this.crashTimes.set(request, crashTimes);
+        const head = readDigestHead(request);
+        this.digestHeads.set(head, (this.digestHeads.get(head) ?? 0) + 1);
+        return crashTimes;
     }
 
-    /** The oldest of the requests under which least has ended. */
-    private findLeast(): string {
-        let least: string | undefined;
-        let leastEnds = Infinity;
-        for (const [request, { size }] of this.ends) {
-            if (size < leastEnds) {
-                least = request;
-                leastEnds = size;
+    /** The oldest of the requests with the fewest ends. */
+    private findEvictionCandidate(): string {
+        let candidate: string | undefined;
+        let fewestCrashes = Infinity;
+        for (const [request, { size }] of this.crashTimes) {
+            if (size < fewestCrashes) {
+                candidate = request;
+                fewestCrashes = size;
             }
-            if (leastEnds <= 1) {
+            if (fewestCrashes <= 1) {
                 break;
             }
         }
-        return least!;
+        return candidate!;
     }
 
     private removeRequest(request: string): void {
-        this.ends.delete(request);
-        const head = readHead(request);
-        const count = (this.heads.get(head) ?? 0) - 1;
+        this.crashTimes.delete(request);
+        const head = readDigestHead(request);
+        const count = (this.digestHeads.get(head) ?? 0) - 1;
         if (count > 0) {
-            this.heads.set(head, count);
+            this.digestHeads.set(head, count);
         }
         else {
-            this.heads.delete(head);
+            this.digestHeads.delete(head);
         }
     }
 }
 
-/** The part of a digest that stands for all but the body. */
-function readHead(request: string): string {
+/** The part of a digest that covers everything but the body. */
+function readDigestHead(request: string): string {
     return request.slice(0, request.indexOf("."));
 }
--- a/packages/fleet/test/crashworld.test.ts
+++ b/packages/fleet/test/crashworld.test.ts
@@ -1,15 +1,15 @@
 /**
- * What callers get where upstreams end, over simulated VMs: the fatal request is refused in time at any size, with the store
- * away and over restarts, and few others are refused with it.
+ * Simulates VMs whose engines end under a fatal request. The request must be refused in time at any size, also while
+ * the store is unreachable and after restarts, and hardly any other request may be refused.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { type CrashTally, CrashWorld, type CrashWorldOptions } from "./crashworld.js";
 
-/** Sends that the users allow later than 3 s after the third end. */
+/** Allowed sends of the fatal request later than 3 s after the third end. */
 const allowedLateSends = 3;
 
-/** Harmless requests that may be refused by mistake, as a share, where engines end under the fatal one alone. */
+/** Allowed share of harmless requests that are refused by mistake, if engines end only under the fatal request. */
 const allowedMistakes = 1 / 1000;
 
 const sizes = [
@@ -18,12 +18,12 @@
     { vms: 195, engines: 109, lengthMs: 6000, seeds: 1 },
 ];
 
-const troubles: { name: string; options: Partial<CrashWorldOptions>; }[] = [
-    { name: "the fatal request alone", options: {} },
-    { name: "engines that end for other reasons", options: { otherEndsMs: 1500 } },
-    { name: "the store away", options: { otherEndsMs: 1500, storeAway: [0, 4000] } },
+const scenarios: { name: string; options: Partial<CrashWorldOptions>; }[] = [
+    { name: "only the fatal request ends engines", options: {} },
+    { name: "engines also end for other reasons", options: { otherEndsMs: 1500 } },
+    { name: "the store is unreachable", options: { otherEndsMs: 1500, storeAway: [0, 4000] } },
     {
-        name: "all VMs killed, with the store away",
+        name: "all VMs are killed while the store is unreachable",
         options: { otherEndsMs: 1500, restartAt: 2500, storeAway: [2000, 4000] },
     },
 ];
@@ -37,8 +37,8 @@
 }
 
 for (const size of sizes) {
-    for (const { name, options } of troubles) {
-        test(`${size.vms} VMs, ${name}: what ends engines is refused in time`, () => {
+    for (const { name, options } of scenarios) {
+        test(`${size.vms} VMs, ${name}: the fatal request is refused in time`, () => {
             for (const tally of runWorlds(size, { ...options, fatalMs: 500 })) {
                 assert.ok(tally.rightlyRefused > 0, JSON.stringify(tally));
                 assert.ok(tally.lateSends <= allowedLateSends, JSON.stringify(tally));
@@ -46,7 +46,7 @@
         });
     }
 
-    test(`${size.vms} VMs: few others are refused with what ends engines`, () => {
+    test(`${size.vms} VMs: hardly any harmless request is refused`, () => {
         const tallies = runWorlds(size, { fatalMs: 500 });
         const harmless = tallies.reduce((sum, tally) => sum + tally.harmless, 0);
         const mistakes = tallies.reduce((sum, tally) => sum + tally.wronglyRefused, 0);
--- a/packages/fleet/test/crashworld.ts
+++ b/packages/fleet/test/crashworld.ts
@@ -1,44 +1,44 @@
 import { type CrashReport, PermitReferee, Quarantine } from "../src/index.js";
 import { createRandom } from "./play.js";
 
-/** What a world is made of. */
+/** Options of a {@link CrashWorld}. */
 export interface CrashWorldOptions {
     readonly seed: number;
     readonly vms: number;
     readonly engines: number;
-    /** Time that is played, in milliseconds. */
+    /** Simulated time, in milliseconds. */
     readonly lengthMs: number;
-    /** Mean time between two ends of engines for other reasons, in milliseconds. @default never */
+    /** Mean time between two ends of engines that the fatal request does not cause, in milliseconds. @default never */
     readonly otherEndsMs?: number;
-    /** Mean time between two arrivals of the fatal request, which comes in bursts of up to three. @default never */
+    /** Mean time between two bursts of up to three fatal requests, in milliseconds. @default never */
     readonly fatalMs?: number;
-    /** When the store is away, in milliseconds. @default never */
+    /** Start and end of the time in which the store is unreachable, in milliseconds. @default never */
     readonly storeAway?: readonly [number, number];
-    /** When all VMs are killed and start again. @default never */
+    /** When all VMs are killed and restart, in milliseconds. @default never */
     readonly restartAt?: number;
 }
 
-/** What became of requests. */
+/** Outcomes of the requests, as counts. */
 export interface CrashTally {
-    /** Requests that end nothing, and how many of them were refused as if they did. */
+    /** Requests that end no engine, and how many of them were refused by mistake. */
     harmless: number;
     wronglyRefused: number;
     /** Arrivals of the fatal request that were refused. */
     rightlyRefused: number;
-    /** Engines that ended under the fatal request, and for other reasons. */
+    /** Ends of engines by the fatal request, and for other reasons. */
     fatalEnds: number;
     otherEnds: number;
-    /** Sends of the fatal request later than the users allow after the third engine had ended under it. */
+    /** Sends of the fatal request more than `allowedMs` after it ended the third engine. */
     lateSends: number;
 }
 
-/** Within this time all VMs know of the third end, as the users ask, in milliseconds. */
+/** Time within which all VMs must know of the third end, in milliseconds. */
 const allowedMs = 3000;
 
-/** VMs up to which each is linked to each. */
+/** Largest number of VMs that form a full mesh. */
 const meshVms = 12;
 
-/** Requests a second for each engine. */
+/** Requests per second and engine. */
 const requestsPerEngine = 10;
 
 interface Request {
@@ -53,13 +53,13 @@
     readonly request: Request;
     readonly vm: Vm;
     readonly sentAt: number;
-    readonly beginsAt: number;
+    readonly startsAt: number;
     readonly endsAt: number;
 }
 
 interface Engine {
     readonly name: string;
-    life: number;
+    incarnation: number;
     isUp: boolean;
     runs: Run[];
 }
@@ -68,14 +68,14 @@
     readonly name: string;
     readonly isHub: boolean;
     readonly dataCentre: number;
-    life: number;
+    incarnation: number;
     reports: number;
     quarantine: Quarantine;
 }
 
 /**
- * VMs that share what they know of ended engines over slow links and a store, in simulated time. Of the program's own code
- * only decisions run here; what carries reports is this world's.
+ * Simulates VMs that share crash reports over slow links and a store, in virtual time. Of the production code only the
+ * decisions run here; the links and the store are simulated.
  */
 export class CrashWorld {
     readonly tally: CrashTally = {
@@ -87,13 +87,13 @@
         lateSends: 0,
     };
     private now = 0;
-    /** What happens in each millisecond. */
+    /** Events by the millisecond in which they happen. */
     private readonly events: (() => void)[][] = [];
     private readonly random: () => number;
     private readonly vms: Vm[];
     private readonly engines: Engine[];
     private readonly store: CrashReport[] = [];
-    private readonly referee = new PermitReferee();
+    private readonly permitIssuer = new PermitReferee();
     private requests = 0;
     private thirdEndAt = Infinity;
 
@@ -103,13 +103,13 @@
             name: `v${index}`,
             isHub: options.vms <= meshVms || index % 5 === 0,
             dataCentre: index % 4,
-            life: 1,
+            incarnation: 1,
             reports: 0,
             quarantine: new Quarantine(),
         }));
         this.engines = Array.from({ length: options.engines }, (_, index) => ({
             name: `e${index}`,
-            life: 1,
+            incarnation: 1,
             isUp: true,
             runs: [],
         }));
@@ -125,13 +125,13 @@
             this.scheduleEvery(fatalMs, () => this.arriveFatal());
         }
         if (otherEndsMs !== undefined) {
-            this.scheduleEvery(otherEndsMs, () => this.endAny());
+            this.scheduleEvery(otherEndsMs, () => this.killAny());
         }
         if (restartAt !== undefined) {
             this.schedule(restartAt, () => this.restartVms());
         }
         for (this.now = 0; this.now <= lengthMs; this.now++) {
-            // What is due now may bring more that is due now.
+            // An event may schedule another one for the same millisecond.
             const due = this.events[this.now] ?? [];
             for (let index = 0; index < due.length; index++) {
                 due[index]!();
@@ -164,7 +164,7 @@
             return;
         }
         const isHeld = verdict.kind === "suspected";
-        if (isHeld && !this.referee.claim(request.digest, vm.name, request.ticket, this.now)) {
+        if (isHeld && !this.permitIssuer.claim(request.digest, vm.name, request.ticket, this.now)) {
             this.schedule(50, () => this.arrive(vm, request));
             return;
         }
@@ -183,12 +183,12 @@
         if (request.isFatal && isInTouch && this.now > this.thirdEndAt + allowedMs) {
             this.tally.lateSends += 1;
         }
-        const beginsAt = this.now + 40 + this.random() * 300;
-        const run = { request, vm, sentAt: this.now, beginsAt, endsAt: beginsAt + 20 + this.random() * 1500 };
+        const startsAt = this.now + 40 + this.random() * 300;
+        const run = { request, vm, sentAt: this.now, startsAt, endsAt: startsAt + 20 + this.random() * 1500 };
         engine.runs.push(run);
-        const { life } = engine;
-        this.schedule((request.isFatal ? beginsAt : run.endsAt) - this.now, () => {
-            if (engine.life !== life || !engine.isUp || !engine.runs.includes(run)) {
+        const { incarnation } = engine;
+        this.schedule((request.isFatal ? startsAt : run.endsAt) - this.now, () => {
+            if (engine.incarnation !== incarnation || !engine.isUp || !engine.runs.includes(run)) {
                 return;
             }
             if (request.isFatal) {
@@ -209,7 +209,7 @@
             vm.quarantine.applyClearance(clearance, this.now);
             this.sendReport(vm, { crashes: [], clearances: [clearance] }, verdict.upstreams.length > 1);
         }
-        this.referee.release(request.digest, vm.name, request.ticket);
+        this.permitIssuer.release(request.digest, vm.name, request.ticket);
     }
 
     private recordFatalEnd(engine: Engine): void {
@@ -220,7 +220,7 @@
         this.end(engine);
     }
 
-    private endAny(): void {
+    private killAny(): void {
         const up = this.engines.filter(({ isUp }) => isUp);
         if (up.length > 0) {
             this.tally.otherEnds += 1;
@@ -232,35 +232,35 @@
         engine.isUp = false;
         const { runs } = engine;
         engine.runs = [];
-        const upstream = `${engine.name}#${engine.life}`;
+        const upstream = `${engine.name}#${engine.incarnation}`;
         this.schedule(1000 + this.random() * 4000, () => {
-            engine.life += 1;
+            engine.incarnation += 1;
             engine.isUp = true;
         });
-        // Each VM finds out by itself, some milliseconds later.
+        // Each VM notices the end by itself, some milliseconds later.
         for (const vm of new Set(runs.map(run => run.vm))) {
-            const { life } = vm;
+            const { incarnation } = vm;
             const broken = runs.filter(run => run.vm === vm);
             const endedAt = this.now;
             this.schedule(
                 5 + this.random() * 10,
-                () => vm.life === life && this.recordBreaks(vm, upstream, endedAt, broken),
+                () => vm.incarnation === incarnation && this.recordBreaks(vm, upstream, endedAt, broken),
             );
         }
     }
 
     private recordBreaks(vm: Vm, upstream: string, endedAt: number, runs: readonly Run[]): void {
-        const suspects = runs.filter(run => endedAt - run.beginsAt < 200).map(({ request }) => request.digest);
+        const suspects = runs.filter(run => endedAt - run.startsAt < 200).map(({ request }) => request.digest);
         const crash = { upstream, at: this.now, requests: suspects };
         vm.quarantine.applyCrash(crash, this.now);
         this.sendReport(vm, { crashes: [crash], clearances: [] });
         for (const { request } of runs) {
-            this.referee.release(request.digest, vm.name, request.ticket);
+            this.permitIssuer.release(request.digest, vm.name, request.ticket);
             this.retry(vm, request);
         }
     }
 
-    /** Twice by the VM, then once more by the caller, at any VM. */
+    /** The VM sends a request twice; then the caller repeats it once, at any VM. */
     private retry(vm: Vm, request: Request): void {
         if (request.attempts < 2) {
             this.arrive(vm, request);
@@ -274,7 +274,7 @@
 
     private sendReport(vm: Vm, content: Omit<CrashReport, "name">, isKept = true): void {
         vm.reports += 1;
-        const report = { name: `${vm.name}/${vm.life}/${vm.reports}`, ...content };
+        const report = { name: `${vm.name}/${vm.incarnation}/${vm.reports}`, ...content };
         vm.quarantine.addReport(report);
         for (const other of this.vms) {
             const isLinked = vm.isHub || other.isHub || other.dataCentre === vm.dataCentre;
@@ -288,11 +288,11 @@
     }
 
     private passReport(vm: Vm, report: CrashReport, delayMs: number): void {
-        const { life } = vm;
-        this.schedule(delayMs, () => vm.life === life && vm.quarantine.applyReport(report, this.now));
+        const { incarnation } = vm;
+        this.schedule(delayMs, () => vm.incarnation === incarnation && vm.quarantine.applyReport(report, this.now));
     }
 
-    /** Writes a report to the store as soon as that is there; all VMs read it within 0.7 s. */
+    /** Writes a report to the store as soon as the store is reachable; all VMs read the report within 0.7 s. */
     private appendReport(report: CrashReport): void {
         const [from, until] = this.options.storeAway ?? [Infinity, Infinity];
         if (this.now >= from && this.now < until) {
@@ -310,12 +310,12 @@
             engine.runs = [];
         }
         for (const vm of this.vms) {
-            vm.life += 1;
+            vm.incarnation += 1;
             vm.quarantine = new Quarantine();
             for (const report of this.store) {
                 this.passReport(vm, report, 100 + this.random() * 300);
             }
-            this.referee.removeVm(vm.name);
+            this.permitIssuer.removeVm(vm.name);
         }
     }
 
--- a/packages/fleet/test/quarantine.test.ts
+++ b/packages/fleet/test/quarantine.test.ts
@@ -1,6 +1,6 @@
 /**
- * What users saw: one request ended 36 engines of a site, each time that it came again. Its VMs kept nothing of what ran where
- * an engine ended. The verdicts here are what they keep since; platform/test/crashing.test.ts plays it with whole VMs.
+ * Guards against a poison request: one request, sent again and again, ended 36 engines, since VMs did not record which
+ * requests ran when an engine ended. platform/test/crashing.test.ts covers the same failure with whole VMs.
  */
 import fc from "fast-check";
 import { test } from "uvu";
@@ -11,7 +11,7 @@
 const harmless = "aa.2";
 const other = "bb.1";
 
-test("a request is refused once three upstreams have ended under it, and not before", () => {
+test("a request is refused once three upstreams have ended while they ran it, and not before", () => {
     const quarantine = new Quarantine();
     assert.is(quarantine.findVerdict(fatal, 0).kind, "unknown");
     quarantine.applyCrash({ upstream: "e1", at: 1, requests: [fatal] }, 1);
@@ -26,7 +26,7 @@
     assert.is(quarantine.findVerdict(harmless, 3).kind, "unknown");
 });
 
-test("an upstream that ended under several copies of a request counts once, whoever tells it", () => {
+test("an upstream that ended while it ran several copies of a request counts once, whichever VM reports it", () => {
     const quarantine = new Quarantine();
     for (const name of ["a/1/1", "b/1/1", "c/1/1"]) {
         quarantine.applyReport({ name, crashes: [{ upstream: "e1", at: 1, requests: [fatal] }], clearances: [] }, 1);
@@ -34,7 +34,7 @@
     assert.equal(quarantine.findVerdict(fatal, 1), { kind: "suspected", upstreams: ["e1"] });
 });
 
-test("a request that was answered whole is cleared of all that ended before, and of no later end", () => {
+test("a complete response clears a request of all earlier ends, and of no later ones", () => {
     const quarantine = new Quarantine();
     for (const [index, upstream] of ["e1", "e2", "e3"].entries()) {
         quarantine.applyCrash({ upstream, at: index, requests: [fatal, other] }, index);
@@ -46,7 +46,7 @@
     assert.is(quarantine.findVerdict(fatal, 11).kind, "suspected");
 });
 
-test("an end counts for half an hour", () => {
+test("the end of an upstream counts for half an hour", () => {
     const quarantine = new Quarantine();
     for (const upstream of ["e1", "e2", "e3"]) {
         quarantine.applyCrash({ upstream, at: 0, requests: [fatal] }, 0);
@@ -58,7 +58,7 @@
     assert.is(quarantine.mayKnow("aa"), false);
 });
 
-test("an end that a VM with a fast clock tells lasts no longer than others", () => {
+test("an end that a VM with a fast clock reports counts for no longer than others", () => {
     const quarantine = new Quarantine();
     for (const upstream of ["e1", "e2", "e3"]) {
         quarantine.applyCrash({ upstream, at: 9_000_000, requests: [fatal] }, 5);
@@ -66,14 +66,14 @@
     assert.is(quarantine.findVerdict(fatal, 5 + 1_800_000).kind, "unknown");
 });
 
-test("bodies need to be looked at only of requests that are otherwise like a suspected one", () => {
+test("only requests that share the digest head of a suspect request need their body checked", () => {
     const quarantine = new Quarantine();
     quarantine.applyCrash({ upstream: "e1", at: 0, requests: [fatal, harmless] }, 0);
     assert.is(quarantine.mayKnow("aa"), true);
     assert.is(quarantine.mayKnow("bb"), false);
 });
 
-test("a caller who makes each body new cannot make it forget what it refuses, nor keep more than it may", () => {
+test("a caller with ever new bodies neither displaces refused requests nor exceeds the tracking limit", () => {
     const quarantine = new Quarantine({ maxRequests: 50 });
     for (const upstream of ["e1", "e2", "e3"]) {
         quarantine.applyCrash({ upstream, at: 0, requests: [fatal] }, 0);
@@ -86,7 +86,7 @@
     assert.is(quarantine.findVerdict(fatal, 1).kind, "refused");
 });
 
-test("a VM that cannot read the store is told what is recent, and what something is refused for", () => {
+test("a VM that cannot read the store gets recent reports, and those that a refusal is based on", () => {
     const quarantine = new Quarantine();
     const createReport = (name: string, at: number, request: string): CrashReport => ({
         name,
@@ -111,7 +111,7 @@
 });
 const clearanceArbitrary = fc.record({ request: fc.constantFrom(fatal, harmless, other), at: fc.nat(100) });
 
-test("reports that come in any order, and more than once, lead to the same verdicts", () => {
+test("reports in any order, and duplicates, give the same verdicts", () => {
     const reportsArbitrary = fc.array(
         fc.record({
             crashes: fc.array(crashArbitrary, { maxLength: 3 }),
