--- a/packages/fleet/src/versions.ts
+++ b/packages/fleet/src/versions.ts
@@ -1,93 +1,102 @@
-/** Version of an adapter for which the operator has named none. */
+/** Version of an adapter for which the operator has announced no version. */
 export const firstVersion = 1;
 
-/** Time in which a replaced version may still begin to answer where the operator names none, in milliseconds. */
+/**
+ * Time for which an engine may still start requests on a replaced version, unless the operator sets another, in
+ * milliseconds.
+ */
 export const usualReplacedMs = 5000;
 
-/** Time that is left for the cancellation of a request to reach its engine, in milliseconds. */
-const cancelMs = 400;
+/** Time reserved for the cancellation of a request to reach its engine, in milliseconds. */
+const cancellationMs = 400;
 
-/** How much longer than expected an engine may take to begin a request, in milliseconds. */
-const beginSlackMs = 2100;
+/** Delay beyond the expected time that an engine may take to start a request, in milliseconds. */
+const startSlackMs = 2100;
 
-/** A version of an adapter that the operator has named. */
+/** A version of an adapter that the operator has announced. */
 export interface NamedVersion {
     readonly version: number;
-    /** When it was named, at the earliest that is possible, in milliseconds; -Infinity if that is not known. */
+    /** Earliest possible time of the announcement, in milliseconds; -Infinity if unknown. */
     readonly since: number;
 }
 
 /** Options of {@link AdapterVersions}. */
 export interface AdapterVersionsOptions {
-    /** Time after a newer version was named in which an engine may begin a request on an older one, in milliseconds. @default 5000 */
+    /**
+     * Time after the announcement of a newer version in which older ones may start requests, in milliseconds.
+     * @default 5000
+     */
     readonly replacedMs?: number | undefined;
 }
 
 /**
- * Versions of adapters that the operator has named, and until when each older one may answer. Each counts from the first
- * version that replaced it: what is named later gives it no more time. Times are of one clock that goes on while the VM is
- * suspended.
+ * Versions of adapters that the operator has announced, and until when each older version may be used. That time counts
+ * from the first version that replaced it: later announcements do not extend it. Times are of one clock that runs on
+ * while the VM is suspended.
  */
 export class AdapterVersions {
     /** By adapter key, oldest version first. */
-    private readonly named = new Map<string, readonly NamedVersion[]>();
-    private readonly useMs: number;
+    private readonly announced = new Map<string, readonly NamedVersion[]>();
+    private readonly usableMs: number;
 
     constructor(options: AdapterVersionsOptions = {}) {
-        this.useMs = (options.replacedMs ?? usualReplacedMs) - cancelMs;
+        this.usableMs = (options.replacedMs ?? usualReplacedMs) - cancellationMs;
     }
 
-    /** Takes word that a version exists. @param since See {@link NamedVersion}. */
+    /** Records that a version was announced. @param since See {@link NamedVersion}. */
     update(key: string, version: number, since: number): void {
-        const known = this.named.get(key) ?? [];
+        const known = this.announced.get(key) ?? [];
         const same = known.find(named => named.version === version);
         const others = known.filter(named => named.version !== version);
         const updated = [...others, { version, since: Math.min(since, same?.since ?? Infinity) }];
         updated.sort((left, right) => left.version - right.version);
-        this.named.set(key, updated.filter((_named, index) => !this.isPast(updated[index + 1], since)));
+        this.announced.set(key, updated.filter((_named, index) => !this.isReplacedLongAgo(updated[index + 1], since)));
     }
 
-    /** The newest version of an adapter; undefined for adapters that never had another one than the first. */
+    /** The newest announced version of an adapter; undefined for adapters that only have the first version. */
     findNewest(key: string): NamedVersion | undefined {
-        return this.named.get(key)?.at(-1);
+        return this.announced.get(key)?.at(-1);
     }
 
-    /** Whether a version was named, as far as it still makes a difference. */
+    /** Whether a version was announced; versions that were replaced long ago are no longer recorded. */
     has(key: string, version: number): boolean {
-        return this.named.get(key)?.some(named => named.version === version) === true;
+        return this.announced.get(key)?.some(named => named.version === version) === true;
     }
 
-    /** When a version was named, at the earliest; undefined if that is not known. */
+    /** Earliest possible time of a version's announcement; undefined if unknown. */
     findSince(key: string, version: number): number | undefined {
-        const since = this.named.get(key)?.find(named => named.version === version)?.since;
+        const since = this.announced.get(key)?.find(named => named.version === version)?.since;
         return since === -Infinity ? undefined : since;
     }
 
-    /** When a version was replaced: at the first moment at which any newer one was named. Undefined if it is the newest. */
+    /** When a version was replaced: the earliest announcement of any newer version. Undefined if it is the newest. */
     findReplacedAt(key: string, version: number): number | undefined {
-        const newer = (this.named.get(key) ?? []).filter(named => named.version > version);
+        const newer = (this.announced.get(key) ?? []).filter(named => named.version > version);
         return newer.length === 0 ? undefined : Math.min(...newer.map(({ since }) => since));
     }
 
-    /** Until when an engine may begin a request on a version; infinite for the newest one. */
+    /** Until when an engine may start a request on a version; Infinity for the newest version. */
     readUseEnd(key: string, version: number): number {
         const replacedAt = this.findReplacedAt(key, version);
-        return replacedAt === undefined ? Infinity : replacedAt + this.useMs;
+        return replacedAt === undefined ? Infinity : replacedAt + this.usableMs;
     }
 
-    /** Whether a request may be sent for a version now. @param expectedMs Time until it begins, as expected, in milliseconds. */
+    /**
+     * Whether a request may be sent for a version now.
+     * @param expectedMs Expected time until its start, in milliseconds.
+     */
     mayUse(key: string, version: number, now: number, expectedMs = 0): boolean {
-        return now + expectedMs + beginSlackMs < this.readUseEnd(key, version);
+        return now + expectedMs + startSlackMs < this.readUseEnd(key, version);
     }
 
-    /** The oldest version that may be sent a request now; undefined if any may. */
+    /** The oldest version for which a request may be sent now; undefined if all versions are allowed. */
     findOldest(key: string, now: number): number | undefined {
-        const known = this.named.get(key) ?? [];
+        const known = this.announced.get(key) ?? [];
         return known.findLast(({ version }) => !this.mayUse(key, version - 1, now))?.version;
     }
 
-    /** Whether every version before this one was replaced so long ago that when exactly makes no difference any more. */
-    private isPast(next: NamedVersion | undefined, now: number): boolean {
-        return next !== undefined && next.since + this.useMs < now;
+    /** Whether the versions before this one were replaced so long ago that the exact time no longer matters. */
+    private isReplacedLongAgo(next: NamedVersion | undefined, now: number): boolean {
+        return next !== undefined && next.since + this.usableMs < now;
     }
 }
--- a/packages/fleet/test/versions.test.ts
+++ b/packages/fleet/test/versions.test.ts
@@ -5,12 +5,12 @@
 
 const key = "base/a1";
 
-/** A request waits for the adapter, in this version at least. */
-function addWant(places: EnginePlaces, version: number | undefined, now = 0): void {
+/** Enqueues a request that waits for at least this version of the adapter. */
+function enqueueLoad(places: EnginePlaces, version: number | undefined, now = 0): void {
     places.addWant({ key, version, runMs: 500, onTimeMs: 500, lifeMs: 500 }, now);
 }
 
-/** Lets the engine load for some time. */
+/** Runs the planned loads for 400 ms. */
 function runLoads(engine: ModelEngine, places: EnginePlaces): void {
     for (let elapsed = 0; elapsed < 400; elapsed += 20) {
         runPlan(engine, places, () => "answered");
@@ -18,7 +18,7 @@
     }
 }
 
-test("a version that was replaced long ago does not come back when a still newer one is named", () => {
+test("an expired version stays unusable when a still newer version is announced", () => {
     const view = new FleetView();
     view.versions.update(key, 2, 3000);
     view.versions.update(key, 3, 8000);
@@ -28,7 +28,7 @@
     assert.equal([1, 2, 3, 4].map(version => view.versions.mayUse(key, version, 16_100)), [false, false, true, true]);
 });
 
-test("a VM that was suspended takes no held version by its steady time", () => {
+test("a VM that was suspended checks held versions against boot time, not its steady time", () => {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
     view.updateNews("v", createNews("e1", { held: { [key]: 1 } }), 0);
@@ -38,7 +38,7 @@
     assert.is(findUsableVersion({ view, now: 100, bootNow: 10_000 }, state, key), undefined);
 });
 
-test("a load asks for the newest version that was named, whatever a request that waits for it knows", () => {
+test("an adapter load orders the newest announced version, whichever version the waiting request names", () => {
     const engine = new ModelEngine();
     const versions = new AdapterVersions();
     const places = new EnginePlaces({
@@ -49,24 +49,24 @@
         findNewest: adapter => versions.findNewest(adapter)?.version,
     });
     versions.update(key, 3, 0);
-    addWant(places, 2);
+    enqueueLoad(places, 2);
     runLoads(engine, places);
     assert.equal(places.listHeld(), { [key]: 3 });
     assert.is(engine.held.get(key), 3);
 });
 
-test("a request that knows less than the one before it does not have an older version loaded", () => {
+test("a request that names an older version than an earlier request does not lower the loaded version", () => {
     const engine = new ModelEngine();
     const places = createPlaces(engine);
-    addWant(places, 3);
-    addWant(places, 2);
-    addWant(places, undefined);
+    enqueueLoad(places, 3);
+    enqueueLoad(places, 2);
+    enqueueLoad(places, undefined);
     runLoads(engine, places);
     assert.equal(places.listHeld(), { [key]: 3 });
     assert.is(engine.held.get(key), 3);
 });
 
-test("a load is asked for where the version that is held may not answer any more, whatever the request that waits knows", () => {
+test("a newer version is loaded if the held one has expired, even if the waiting request names no version", () => {
     const engine = new ModelEngine();
     engine.held.set(key, 1);
     const versions = new AdapterVersions();
@@ -79,15 +79,15 @@
     });
     runLoads(engine, places);
     versions.update(key, 2, -Infinity);
-    addWant(places, undefined, engine.now);
+    enqueueLoad(places, undefined, engine.now);
     runLoads(engine, places);
     assert.equal(places.listHeld(), { [key]: 2 });
 });
 
-test("an adapter of which no version was named is told to be its first one", () => {
+test("an adapter without an announced version is reported as its first version", () => {
     const engine = new ModelEngine();
     const places = createPlaces(engine);
-    addWant(places, undefined);
+    enqueueLoad(places, undefined);
     runLoads(engine, places);
     assert.equal(places.listHeld(), { [key]: 1 });
 });
