--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -3,132 +3,142 @@
 import { findAdapterKey, type ModelDemand, type UpstreamLoad } from "./types.js";
 import type { FleetView, UpstreamState } from "./view.js";
 
-/** Prompt tokens that an engine reads in a millisecond, by the users' sheets for both of their engines. */
+/** Prompt tokens that an engine reads in a millisecond; both kinds of engine are specified with this rate. */
 export const prefillTokensPerMs = 38.4;
 
-/** Time that each running request adds to the first token of another, in milliseconds: its share of a batch's steps. */
+/**
+ * Delay that each running request adds to the first token of another, in milliseconds: its share of the batch's steps.
+ */
 const activeCostMs = 1.5;
 
-/** Cost of a request that would not fit into an engine's memory beside those that run: it would preempt another. */
-const overfullCostMs = 1500;
+/** Cost of a request that does not fit into an engine's memory beside the others, in milliseconds: it preempts one. */
+const preemptionCostMs = 1500;
 
-/** Share of an engine's memory that is filled on purpose; kept prompt parts live in the rest. */
+/** Share of an engine's KV memory that requests may fill; the prefix cache uses the rest. */
 const kvFillShare = 0.85;
 
-/** Cost of leaving the data centre: breaks ties between otherwise equal upstreams. */
+/** Cost of an upstream in another data centre, in milliseconds: breaks ties between otherwise equal upstreams. */
 const otherDataCentreCostMs = 4;
 
-/** Cost of an upstream to which connections fail: used only if nothing else is left. */
-const doubtfulCostMs = 3000;
+/** Cost of an upstream to which connections fail, in milliseconds: such an upstream is the last choice. */
+const unreachableCostMs = 3000;
 
 /**
- * Cost of an engine that its owner cannot reach, in milliseconds. Less than that of one which this VM itself could not
- * reach: the path from here may be another one.
+ * Cost of an engine that its owner cannot reach, in milliseconds. Lower than that of an engine that this VM cannot
+ * reach, since this VM may use another network path.
  */
-const ownerDoubtCostMs = 1500;
+const unreachableByOwnerCostMs = 1500;
 
-/** Cost of an upstream that fails every request; a share of failures costs its share of this. */
+/** Cost of an upstream that fails every request, in milliseconds; scaled by the share of failed responses. */
 const failingCostMs = 1200;
 
 /**
- * Cost of loading a newer version of an adapter where an older one is in use, in milliseconds: the load comes after its
- * runs, which take seconds.
+ * Cost of loading a newer version of an adapter where an older version is in use, in milliseconds: the load starts
+ * after the running requests of the older version, which take seconds.
  */
 const replacedInUseCostMs = 2000;
 
 /**
- * Cost of each step away from an adapter's first home when it must be loaded from the weight store: where nobody knows
- * which engine held it lately, its home is the likely one, and VMs that ask at the same time ask there. At 110 ms a step a
- * home outweighed what the engines had to do: Armor's quiet day earned 0.686, and 0.710 at 30 ms.
+ * Cost of each rank below an adapter's preferred engine when the adapter must be loaded from the weight store, in
+ * milliseconds. If no VM knows which engine held the adapter recently, the preferred engine is the likely one, and VMs
+ * that request admission at the same time agree on it. At 110 ms the preference outweighs the load of the engines.
  */
-const otherHomeCostMs = 30;
+const preferenceRankCostMs = 30;
 
 /**
- * Cost of loading an adapter on one more engine, in milliseconds: it takes a place from another adapter and reads the
- * shared parts of its prompts again. A busy adapter gets a second engine once the first is behind by this and a load.
+ * Cost of loading an adapter on a further engine, in milliseconds: the copy takes a slot from another adapter, and the
+ * engine reads the shared parts of its prompts again. A busy adapter gets a second engine once the queue of the first
+ * exceeds this cost plus a load.
  */
 const secondCopyCostMs = 250;
 
-/** Whether an answer lasts long enough to be held up by other requests' prompts. */
+/** Whether the response is long enough for other requests' prompts to delay it. */
 export function hasLongAnswer(model: ModelDemand | undefined): boolean {
     return model !== undefined && model.outputTokens > longAnswerTokens;
 }
 
-/** An answer of more tokens than this lasts long enough to be held up by other requests' prompts: half a second or more. */
+/** A response of more tokens than this takes half a second or more, so that other requests' prompts can delay it. */
 const longAnswerTokens = 100;
 
 /**
- * Cost of each long answer on an engine to a prompt that would hold them up, in milliseconds. One answer that is late
- * loses what about 700 ms do to a draft; most of them have been held up once, or end before.
+ * Cost of a long prompt for each long response that it would delay, in milliseconds. A late response costs its caller
+ * as much as a delay of about 700 ms costs a short request with a tight latency target, but most long responses have
+ * been delayed before, or end before the prompt is read.
  */
-const heldUpCostMs = 150;
+const longAnswerDelayCostMs = 150;
 
 /**
- * Cost of an engine that has just read such a prompt to a long answer, in milliseconds: more than a load elsewhere. Once
- * one engine reads them, answers leave it, so that the next one goes there too.
+ * Cost of an engine that has just read a long prompt to a request with a long response, in milliseconds: more than an
+ * adapter load on another engine. Long responses thus leave an engine that reads long prompts, and the next long prompt
+ * goes to the same engine.
  */
-const longPromptNearMs = 500;
+const recentLongPromptCostMs = 500;
 
-/** How long ago it may have read one, in milliseconds: under load the next one is there by then. */
-const longPromptRecentMs = 1500;
+/** Time for which a long prompt counts as recent, in milliseconds: under load the next one has arrived by then. */
+const longPromptWindowMs = 1500;
 
-/** An engine that loses its place this soon gets no new stream, in milliseconds: most streams end within it. */
+/** An engine that shuts down within this time gets no new requests, in milliseconds: most streams end within it. */
 const minRemainingMs = 1500;
 
-/** A choice of an upstream for one request. */
+/** The upstream chosen for one request. */
 export interface UpstreamChoice {
     readonly state: UpstreamState;
-    /** Expected time to the first byte of the answer, in milliseconds, with penalties for what is in doubt. */
+    /** Expected time to the first byte of the response, in milliseconds, with penalties for uncertainties. */
     readonly costMs: number;
-    /** Part of it before its prompt is read: for other requests on the upstream, or for a load, in milliseconds. */
+    /** Part of the cost before the prompt is read: time for other requests or for an adapter load, in milliseconds. */
     readonly waitMs: number;
-    /** What the choice is made by, in milliseconds: the cost, and what others on the upstream would lose or make it lose. */
+    /**
+     * Value by which upstreams are compared, in milliseconds: the cost plus the delays among this and other requests.
+     */
     readonly rankMs: number;
-    /** Whether the request can be sent now; otherwise its adapter must be loaded first. */
+    /** Whether the upstream can serve the request now; otherwise the adapter must be loaded first. */
     readonly isReady: boolean;
-    /** Version of the adapter that answers; undefined for requests without an adapter. */
+    /** Version of the adapter that serves the request; undefined for requests without an adapter. */
     readonly version: number | undefined;
-    /** Prompt tokens that it has to read. */
+    /** Prompt tokens that the upstream has to read. */
     readonly prefillTokens: number;
 }
 
-/** What a choice starts from. */
+/** Options of {@link chooseServer}. */
 export interface ChoiceOptions {
     readonly view: FleetView;
     readonly service: Service;
     readonly dataCentre: string;
     readonly now: number;
-    /** The same by a clock that goes on while the VM is suspended, in milliseconds: versions are judged by it. @default now */
+    /**
+     * Current time of a clock that runs on while the VM is suspended, in milliseconds; used for versions.
+     * @default now
+     */
     readonly bootNow?: number | undefined;
-    /** Cost added to upstreams that this request has tried, in milliseconds by id; Infinity rules one out. */
+    /** Cost added to upstreams that this request has tried, in milliseconds by id; Infinity excludes an upstream. */
     readonly penalties: ReadonlyMap<string, number>;
 }
 
-/** What a choice among engines starts from. */
+/** Options of {@link chooseEngine}. */
 export interface EngineChoiceOptions extends ChoiceOptions {
     readonly demand: ModelDemand;
-    /** Whether only the newest version of the adapter will do. @default false */
+    /** Whether the request needs the newest version of the adapter. @default false */
     readonly needsNewest?: boolean;
-    /** Prompt tokens from which on streams beside a prompt are held up. */
+    /** Prompt tokens from which on a prompt delays other streams of its engine. */
     readonly longPromptTokens: number;
-    /** Prompt tokens that an engine keeps of the request, by engine id. */
+    /** Reads how many of the request's prompt tokens an engine has cached, by engine id. */
     readonly findKeptTokens: (engine: string) => number;
-    /** Whether an engine's owner can be asked. */
+    /** Whether this VM can request admission from an engine's owner. */
     readonly canAsk: (state: UpstreamState) => boolean;
 }
 
-/** Costs that hold for every kind of upstream. */
+/** Costs that apply to engines and plain servers alike, in milliseconds. */
 function readCommonCost(options: ChoiceOptions, state: UpstreamState): number {
     const { dataCentre, now, penalties } = options;
-    const isDoubtful = state.health.isPaused(now);
+    const isUnreachable = state.health.isPaused(now);
     return (penalties.get(state.upstream.id) ?? 0)
         + (state.upstream.dataCentre === dataCentre ? 0 : otherDataCentreCostMs)
-        + (isDoubtful ? doubtfulCostMs : 0)
-        + (state.news?.isReachable === false ? ownerDoubtCostMs : 0)
+        + (isUnreachable ? unreachableCostMs : 0)
+        + (state.news?.isReachable === false ? unreachableByOwnerCostMs : 0)
         + state.health.readFailureShare(now) * failingCostMs;
 }
 
-/** Picks a server of a plain service: the least loaded and fastest one that answers. */
+/** Chooses a server of a plain service: the least loaded and fastest one that is available. */
 export function chooseServer(options: ChoiceOptions): UpstreamChoice | undefined {
     const { view, service, now, penalties } = options;
     let best: UpstreamChoice | undefined;
@@ -138,9 +148,9 @@
         }
         const { active } = view.readLoad(state.upstream.id);
         const slots = Math.max(1, state.upstream.slots);
-        // Work is in units of one request's usual time; a full server makes the next one wait.
+        // The usual time of one request, scaled up for the requests that the server already runs.
         const workMs = serverWorkMs * state.health.readPace(now)
-            * (1 + (active / slots) ** 2 + active * serverShareCost);
+            * (1 + (active / slots) ** 2 + active * serverActiveCostShare);
         const costMs = workMs + readCommonCost(options, state);
         if (best === undefined || costMs < best.costMs) {
             best = { state, costMs, waitMs: 0, rankMs: costMs, isReady: true, version: undefined, prefillTokens: 0 };
@@ -149,13 +159,13 @@
     return best;
 }
 
-/** Usual time of one request of a plain service, in milliseconds: between the users' 21 and 86 ms. */
+/** Usual time of one request of a plain service, in milliseconds: services take from 21 to 86 ms. */
 const serverWorkMs = 60;
 
-/** Cost of each request already on a server, as a share of its usual time: spreads requests over idle servers. */
-const serverShareCost = 0.15;
+/** Cost of each active request on a server, as a share of the usual time: spreads requests over idle servers. */
+const serverActiveCostShare = 0.15;
 
-/** Picks an engine for a model request, and says whether its adapter must be loaded there first. */
+/** Chooses an engine for a model request. The adapter may have to be loaded there first. */
 export function chooseEngine(options: EngineChoiceOptions): UpstreamChoice | undefined {
     const { view, service, demand, now, penalties } = options;
     const limits = service.engine;
@@ -164,22 +174,22 @@
     }
     const usable = view.listAwake(service.name, now).filter(state =>
         penalties.get(state.upstream.id) !== Infinity
-        && (state.goneAt === undefined || state.goneAt - now > minRemainingMs)
+        && (state.shutdownAt === undefined || state.shutdownAt - now > minRemainingMs)
     );
     const key = findAdapterKey(demand);
-    const homes = key === undefined ? [] : rankHomes(key, usable.map(state => ({ id: state.upstream.id })));
-    const homeRanks = new Map(homes.map(({ id }, rank) => [id, rank]));
-    const seen = usable.map(state => {
+    const preferredEngines = key === undefined ? [] : rankHomes(key, usable.map(state => ({ id: state.upstream.id })));
+    const preferenceRanks = new Map(preferredEngines.map(({ id }, rank) => [id, rank]));
+    const candidates = usable.map(state => {
         const version = key === undefined ? undefined : findUsableVersion(options, state, key);
         const hasAdapter = version !== undefined || (key !== undefined && state.news?.coming.includes(key) === true);
         return { state, version, hasAdapter };
     });
-    const hasCopy = seen.some(({ state, hasAdapter }) => hasAdapter && isTrusted(state, now));
+    const hasCopy = candidates.some(({ state, hasAdapter }) => hasAdapter && isBelievedReachable(state, now));
     let best: UpstreamChoice | undefined;
-    for (const { state, version, hasAdapter } of seen) {
-        const homeRank = homeRanks.get(state.upstream.id) ?? homes.length;
+    for (const { state, version, hasAdapter } of candidates) {
+        const preferenceRank = preferenceRanks.get(state.upstream.id) ?? preferredEngines.length;
         const isSecondCopy = hasCopy && !hasAdapter;
-        const choice = createChoice({ options, limits, state, key, version, homeRank, isSecondCopy });
+        const choice = createChoice({ options, limits, state, key, version, preferenceRank, isSecondCopy });
         if (choice !== undefined && (best === undefined || choice.rankMs < best.rankMs)) {
             best = choice;
         }
@@ -187,8 +197,8 @@
     return best;
 }
 
-/** Whether an engine can be reached, as far as its owner and this VM know. */
-function isTrusted(state: UpstreamState, now: number): boolean {
+/** Whether neither the owner nor this VM has found the engine unreachable. */
+function isBelievedReachable(state: UpstreamState, now: number): boolean {
     return state.news?.isReachable !== false && !state.health.isPaused(now);
 }
 
@@ -198,17 +208,17 @@
     readonly limits: EngineLimits;
     readonly state: UpstreamState;
     readonly key: string | undefined;
-    /** Version of the adapter that it may answer with. */
+    /** Version of the adapter with which the engine may serve the request. */
     readonly version: number | undefined;
-    /** Place among the adapter's homes. */
-    readonly homeRank: number;
-    /** Whether another engine has the adapter and this one has not. */
+    /** Rank among the adapter's preferred engines. */
+    readonly preferenceRank: number;
+    /** Whether another engine holds or loads the adapter and this engine does not. */
     readonly isSecondCopy: boolean;
 }
 
-/** The choice of one engine; undefined if it cannot serve the request. */
+/** Rates one engine as a choice; undefined if the engine cannot serve the request. */
 function createChoice(candidate: EngineCandidate): UpstreamChoice | undefined {
-    const { options, limits, state, key, version, homeRank, isSecondCopy } = candidate;
+    const { options, limits, state, key, version, preferenceRank, isSecondCopy } = candidate;
     const { view, demand, now } = options;
     const isReady = key === undefined ? view.hasModel(state, demand.model) : version !== undefined;
     const canLoad = (state.news?.canOrder ?? false) && options.canAsk(state);
@@ -216,38 +226,45 @@
         return undefined;
     }
     const load = view.readLoad(state.upstream.id);
-    const kept = isReady ? options.findKeptTokens(state.upstream.id) : 0;
-    const prefillTokens = Math.max(0, demand.promptTokens - kept);
+    const cachedTokens = isReady ? options.findKeptTokens(state.upstream.id) : 0;
+    const prefillTokens = Math.max(0, demand.promptTokens - cachedTokens);
     const neededKv = load.kvTokens + demand.promptTokens + demand.outputTokens;
     const isOverfull = neededKv > limits.kvTokens * kvFillShare || load.active >= limits.batchSlots;
     const queueMs = readQueueMs(load);
     const readMs = prefillTokens / prefillTokensPerMs;
-    // While an adapter is loaded the engine reads the prompts in front.
-    const waitMs = isReady ? queueMs : Math.max(queueMs, readLoadCost(view, state, key, homeRank));
+    // The engine reads the prompts ahead of this one while it loads the adapter.
+    const waitMs = isReady ? queueMs : Math.max(queueMs, readLoadCost(view, state, key, preferenceRank));
     const costMs = (waitMs + readMs) * state.health.readPace(now)
-        + (isOverfull ? overfullCostMs : 0)
+        + (isOverfull ? preemptionCostMs : 0)
         + (isSecondCopy ? secondCopyCostMs : 0)
         + readCommonCost(options, state);
-    if (version !== undefined && !mayBegin(options, key, version, costMs)) {
+    if (version !== undefined && !mayStartInTime(options, key, version, costMs)) {
         return createChoice({ ...candidate, version: undefined });
     }
-    const rankMs = costMs + readHeldUpCost(options, state, prefillTokens, load.longAnswers);
+    const rankMs = costMs + readLongPromptCost(options, state, prefillTokens, load.longAnswers);
     return { state, costMs, waitMs, rankMs, isReady, version, prefillTokens };
 }
 
-/** Whether an engine will have begun a request while its version may still answer, as far as can be expected. */
-function mayBegin(options: EngineChoiceOptions, key: string | undefined, version: number, expectedMs: number): boolean {
+/** Whether the engine is expected to start the request while the adapter version may still be used. */
+function mayStartInTime(
+    options: EngineChoiceOptions,
+    key: string | undefined,
+    version: number,
+    expectedMs: number,
+): boolean {
     const { view, now, bootNow = now } = options;
     return key === undefined || view.versions.mayUse(key, version, bootNow, expectedMs);
 }
 
-/** How long the requests on an engine hold up one more, in milliseconds. */
+/** Delay of a new request by the requests on an engine, in milliseconds. */
 export function readQueueMs(load: Readonly<UpstreamLoad>): number {
     return load.backlogTokens / prefillTokensPerMs + load.active * activeCostMs;
 }
 
-/** What a long prompt does to the long answers on an engine, and those that read there to a new one. */
-function readHeldUpCost(
+/**
+ * Cost of a long prompt's delay of the long responses on an engine, or of a recent long prompt to a new long response.
+ */
+function readLongPromptCost(
     options: EngineChoiceOptions,
     state: UpstreamState,
     prefillTokens: number,
@@ -255,30 +272,31 @@
 ): number {
     const { demand, now, longPromptTokens } = options;
     if (prefillTokens >= longPromptTokens) {
-        return longAnswers * heldUpCostMs;
+        return longAnswers * longAnswerDelayCostMs;
     }
-    const isNear = demand.outputTokens > longAnswerTokens
-        && state.prompts.findLargest(now - longPromptRecentMs) >= longPromptTokens;
-    return isNear ? longPromptNearMs : 0;
+    const hasRecentLongPrompt = demand.outputTokens > longAnswerTokens
+        && state.prompts.findLargest(now - longPromptWindowMs) >= longPromptTokens;
+    return hasRecentLongPrompt ? recentLongPromptCostMs : 0;
 }
 
-/** Expected wait for an adapter that has to be loaded first, in milliseconds. */
-function readLoadCost(view: FleetView, state: UpstreamState, key: string | undefined, homeRank: number): number {
+/** Expected wait for an adapter load before the request, in milliseconds. */
+function readLoadCost(view: FleetView, state: UpstreamState, key: string | undefined, preferenceRank: number): number {
     const { news } = state;
     if (news === undefined || key === undefined) {
         return 0;
     }
     if (view.findHeldVersion(state, key) !== undefined) {
-        // One that is not in use has been replaced by its owner already.
+        // An owner replaces an old version at once unless it is in use, so this one is in use.
         return news.coldLoadMs + replacedInUseCostMs;
     }
     if (news.coming.includes(key)) {
         return news.coldLoadMs / 2;
     }
-    return news.waitMs + (state.warm.has(key) ? news.warmLoadMs : news.coldLoadMs + homeRank * otherHomeCostMs);
+    return news.waitMs
+        + (state.warm.has(key) ? news.warmLoadMs : news.coldLoadMs + preferenceRank * preferenceRankCostMs);
 }
 
-/** The version of an adapter that an engine may answer with: the newest, or for a short time one that was replaced. */
+/** The adapter version with which an engine may serve a request: the newest, or for a short time a replaced one. */
 export function findUsableVersion(
     options: Pick<EngineChoiceOptions, "view" | "now" | "bootNow" | "needsNewest">,
     state: UpstreamState,
--- a/packages/fleet/src/departures.ts
+++ b/packages/fleet/src/departures.ts
@@ -1,21 +1,21 @@
-/** Most upstreams whose word is kept: far more than leave while a process of a VM runs; the oldest is forgotten first. */
-const maxKept = 10_000;
+/** Most upstreams that are remembered: far more than leave during the run of a process. The oldest is dropped first. */
+const maxUpstreams = 10_000;
 
 /**
- * Upstreams that have said themselves that they leave. That stands for as long as they live: their entry may tell less, since
- * the store is away or the entry is old, and one whose entry has lapsed may come back with it. An upstream that starts again
- * is another one.
+ * Upstreams that have announced themselves that they are leaving. An announcement holds for the whole incarnation, even
+ * if the upstream's entry does not show it: the store may be unreachable, the entry may be old, and an entry that has
+ * expired may appear again. A restarted upstream has a new id.
  */
-export class Departures {
+export class LeavingUpstreams {
     private readonly ids = new Set<string>();
 
-    /** @returns Whether it was not known. */
+    /** @returns Whether the upstream was not recorded before. */
     add(id: string): boolean {
         if (this.ids.has(id)) {
             return false;
         }
         this.ids.add(id);
-        if (this.ids.size > maxKept) {
+        if (this.ids.size > maxUpstreams) {
             this.ids.delete(this.ids.values().next().value!);
         }
         return true;
--- a/packages/fleet/src/kept.ts
+++ b/packages/fleet/src/kept.ts
@@ -1,12 +1,15 @@
 import type { ModelDemand, PromptPart } from "./types.js";
 
-/** How long a part is believed to be kept after its last use, in milliseconds. Engines drop the least recently used. */
-const keptMs = 20_000;
+/**
+ * Time after its last use for which a part is assumed to be cached, in milliseconds. Engines drop the least recently
+ * used.
+ */
+const partLifeMs = 20_000;
 
-/** Most parts remembered for one engine: an engine's memory holds some hundred parts of 2,000 tokens. */
+/** Most parts tracked for one engine: an engine's memory holds some hundred parts of 2,000 tokens. */
 const maxParts = 400;
 
-/** Remembers which prompt parts engines have read for requests of this VM. */
+/** Tracks which prompt parts each engine's prefix cache should hold, by the requests of this VM. */
 export class KeptParts {
     private readonly partsByEngine = new Map<string, Map<string, number>>();
 
@@ -27,13 +30,13 @@
         }
     }
 
-    /** Tokens at the start of a prompt that an engine keeps for this model and adapter. */
+    /** Tokens at the start of a prompt that an engine has cached for this model and adapter. */
     countKeptTokens(engine: string, demand: ModelDemand, now: number): number {
         const parts = this.partsByEngine.get(engine);
         let tokens = 0;
         for (const part of demand.parts) {
             const usedAt = parts?.get(formatPartKey(demand, part));
-            if (usedAt === undefined || now - usedAt > keptMs) {
+            if (usedAt === undefined || now - usedAt > partLifeMs) {
                 break;
             }
             tokens += part.tokens;
@@ -41,13 +44,13 @@
         return tokens;
     }
 
-    /** Forgets an engine that is gone. */
+    /** Drops the parts of an engine that no longer exists. */
     removeEngine(engine: string): void {
         this.partsByEngine.delete(engine);
     }
 }
 
-/** Parts are kept for one model and adapter only. */
+/** Cached parts are valid for one model and adapter only. */
 function formatPartKey(demand: ModelDemand, part: PromptPart): string {
     return `${demand.model}/${demand.adapter ?? ""}/${part.id}`;
 }
--- a/packages/fleet/src/rank.ts
+++ b/packages/fleet/src/rank.ts
@@ -1,32 +1,32 @@
-/** Start and factor of the FNV-1a hash, and the factors that spread its bits (the end of MurmurHash3). */
-const hashStart = 0x811c9dc5;
-const hashFactor = 0x01000193;
-const spreadFactors = [0x85ebca6b, 0xc2b2ae35] as const;
+/** Offset basis and prime of the FNV-1a hash, and the factors of MurmurHash3's finalizer, which mixes its bits. */
+const fnvOffsetBasis = 0x811c9dc5;
+const fnvPrime = 0x01000193;
+const mixFactors = [0x85ebca6b, 0xc2b2ae35] as const;
 
-/** Takes a text into a hash. */
+/** Adds a text to an FNV-1a hash. */
 function foldText(hash: number, text: string): number {
     let folded = hash;
     for (let index = 0; index < text.length; index += 1) {
-        folded = Math.imul(folded ^ text.charCodeAt(index), hashFactor);
+        folded = Math.imul(folded ^ text.charCodeAt(index), fnvPrime);
     }
     return folded;
 }
 
-/** Spreads a hash over 32 bits, so that items whose names differ in little are ordered apart. */
+/** Mixes a hash over 32 bits, so that similar names get unrelated ranks. */
 function foldBits(hash: number): number {
-    let spread = Math.imul(hash ^ (hash >>> 16), spreadFactors[0]);
-    spread = Math.imul(spread ^ (spread >>> 13), spreadFactors[1]);
-    return (spread ^ (spread >>> 16)) >>> 0;
+    let mixed = Math.imul(hash ^ (hash >>> 16), mixFactors[0]);
+    mixed = Math.imul(mixed ^ (mixed >>> 13), mixFactors[1]);
+    return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
 /**
- * Orders items for a key, the same on every VM, under rendezvous hashing: adding or removing another item moves no other
- * key. An adapter's first engines are its homes: it comes back to an engine that had it lately and still keeps it in host
- * memory, where it loads in a tenth of the time. The order is worked out for each request and all engines, which a
- * cryptographic hash would make dear.
+ * Orders items for a key by rendezvous hashing, the same on every VM: adding or removing an item changes the first
+ * choice only of keys that gain or lose that item. The first engines of an adapter are its preferred ones: it returns
+ * to an engine that held it recently and still has it in host memory, from where it loads in a tenth of the time. The
+ * order is computed over all engines for each request, for which a cryptographic hash would be too slow.
  */
 export function rankHomes<Item extends { readonly id: string; }>(key: string, items: readonly Item[]): Item[] {
-    const start = foldText(hashStart, key);
+    const start = foldText(fnvOffsetBasis, key);
     return items
         .map(item => ({ item, score: foldBits(foldText(start, item.id)) }))
         .sort((left, right) => right.score - left.score || (left.item.id < right.item.id ? -1 : 1))
--- a/packages/fleet/src/rests.ts
+++ b/packages/fleet/src/rests.ts
@@ -1,21 +1,22 @@
 /**
- * Until when upstreams want nothing from this VM, as they have asked it. That is between the two: other VMs are not told, the
- * upstream has not failed, and an owner lets other VMs' requests in. Another incarnation has asked for nothing.
+ * Backoffs that upstreams have requested from this VM (`Retry-After`). A backoff concerns this VM and one incarnation
+ * of the upstream only: other VMs are not notified, it does not count as a failure, and the owner still admits other
+ * VMs' requests.
  */
-export class UpstreamRests {
+export class UpstreamBackoffs {
     private readonly ends = new Map<string, number>();
 
-    /** Takes an upstream's wish. The later end counts. */
-    record(id: string, restMs: number, now: number): void {
+    /** Records a backoff that an upstream requests. Of several backoffs the latest end counts. */
+    record(id: string, backoffMs: number, now: number): void {
         this.expire(now);
-        this.ends.set(id, Math.max(this.ends.get(id) ?? -Infinity, now + restMs));
+        this.ends.set(id, Math.max(this.ends.get(id) ?? -Infinity, now + backoffMs));
     }
 
     isResting(id: string, now: number): boolean {
         return this.findEnd(id, now) !== undefined;
     }
 
-    /** When an upstream's rest ends; undefined if it does not rest. */
+    /** End of an upstream's backoff; undefined if there is none. */
     findEnd(id: string, now: number): number | undefined {
         const end = this.ends.get(id);
         return end !== undefined && end > now ? end : undefined;
--- a/packages/fleet/src/view.ts
+++ b/packages/fleet/src/view.ts
@@ -1,43 +1,43 @@
-import { Departures } from "./departures.js";
+import { LeavingUpstreams } from "./departures.js";
 import { UpstreamHealth } from "./health.js";
 import { LoadCounter, type LoadHandle, type LoadShare, noLoad } from "./load.js";
 import { PromptHistory } from "./pauses.js";
-import { UpstreamRests } from "./rests.js";
+import { UpstreamBackoffs } from "./rests.js";
 import { type EngineNews, formatAdapterKey, type Upstream, type UpstreamLoad } from "./types.js";
 import { AdapterVersions, type AdapterVersionsOptions } from "./versions.js";
 import { WarmAdapters } from "./warm.js";
 
-/** What one VM knows of one upstream. */
+/** One VM's view of one upstream. */
 export interface UpstreamState {
     upstream: Upstream;
-    /** Since when this VM knows that it leaves; undefined if it does not leave as far as is known. */
+    /** When this VM learned that the upstream is leaving; undefined if it is not known to leave. */
     leavingSince: number | undefined;
-    /** When it will be gone, if it is taken away at short notice. */
-    goneAt: number | undefined;
-    /** The newest word of its owner; missing for plain services, and until an owner has spoken. */
+    /** When the upstream will be gone, if it is shut down at short notice. */
+    shutdownAt: number | undefined;
+    /** Newest status from the engine's owner; undefined for plain services, and until the first status arrives. */
     news: EngineNews | undefined;
-    /** The VM that sent `news`. */
+    /** The VM that sent the newest status, if that VM owns the engine. */
     owner: string | undefined;
-    /** What this VM itself had on the engine when `news` came: its owner has counted that. */
-    ownLoadAtNews: Readonly<UpstreamLoad>;
+    /** This VM's own load on the engine when the newest status arrived; the owner has counted it. */
+    ownLoadAtStatus: Readonly<UpstreamLoad>;
     readonly health: UpstreamHealth;
-    /** Adapters that it has held lately, as far as its owners have told. */
+    /** Adapters that the engine held recently, by the status reports of its owners. */
     readonly warm: WarmAdapters;
-    /** Prompts that it has read lately, for all VMs. */
+    /** Prompts that the engine read recently, for all VMs. */
     readonly prompts: PromptHistory;
 }
 
-/** What an engine's owner tells of one adapter. */
+/** Status of one adapter, as reported by an engine's owner. */
 export interface AdapterNews {
     readonly key: string;
-    /** Undefined if it is not loaded. */
+    /** Undefined if the adapter is not loaded. */
     readonly version: number | undefined;
     readonly isComing: boolean;
 }
 
-/** What is known of an engine's adapters, with word of one of them. */
-function mergeAdapter(news: EngineNews, adapter: AdapterNews | undefined): Pick<EngineNews, "held" | "coming"> {
-    const { held, coming } = news;
+/** Merges the status of one adapter into the adapters of an engine's status. */
+function mergeAdapter(status: EngineNews, adapter: AdapterNews | undefined): Pick<EngineNews, "held" | "coming"> {
+    const { held, coming } = status;
     if (adapter === undefined) {
         return { held, coming };
     }
@@ -48,32 +48,32 @@
     };
 }
 
-/** What one VM knows of all upstreams: their entries, what engines hold, and how loaded they are. */
+/** One VM's view of all upstreams: their entries, the adapters that engines hold, and their load. */
 export class FleetView {
     private readonly ownLoad = new LoadCounter();
     private readonly states = new Map<string, UpstreamState>();
-    private readonly departures = new Departures();
-    /** Rests that upstreams have asked of this VM. */
-    readonly rests = new UpstreamRests();
-    /** Versions of adapters that the operator has named. Their times are in boot time. */
+    private readonly leavingUpstreams = new LeavingUpstreams();
+    /** Backoffs that upstreams have requested from this VM. */
+    readonly rests = new UpstreamBackoffs();
+    /** Adapter versions that the operator has announced. Their times are boot time. */
     readonly versions: AdapterVersions;
 
     constructor(options: AdapterVersionsOptions = {}) {
         this.versions = new AdapterVersions(options);
     }
 
-    /** Takes an upstream's entry. */
+    /** Adds an upstream, or updates it to its newest entry. */
     updateUpstream(upstream: Upstream, now: number): void {
-        const goneAt = upstream.remainingMs === undefined ? undefined : now + upstream.remainingMs;
+        const shutdownAt = upstream.remainingMs === undefined ? undefined : now + upstream.remainingMs;
         const state = this.states.get(upstream.id);
         if (state === undefined) {
             this.states.set(upstream.id, {
                 upstream,
                 leavingSince: this.isLeaving(upstream) ? now : undefined,
-                goneAt,
+                shutdownAt,
                 news: undefined,
                 owner: undefined,
-                ownLoadAtNews: noLoad,
+                ownLoadAtStatus: noLoad,
                 health: new UpstreamHealth(),
                 warm: new WarmAdapters(),
                 prompts: new PromptHistory(),
@@ -82,7 +82,7 @@
         }
         state.upstream = upstream;
         state.leavingSince = this.isLeaving(upstream) ? state.leavingSince ?? now : undefined;
-        state.goneAt = goneAt === undefined ? undefined : Math.min(goneAt, state.goneAt ?? goneAt);
+        state.shutdownAt = shutdownAt === undefined ? undefined : Math.min(shutdownAt, state.shutdownAt ?? shutdownAt);
     }
 
     removeUpstream(id: string): void {
@@ -98,36 +98,39 @@
     }
 
     /**
-     * Takes an upstream's own word that it leaves. No entry takes it back.
-     * @returns Whether it was not known, neither from the upstream nor from its entry.
+     * Records an upstream's announcement that it is leaving. No later entry revokes it.
+     * @returns Whether this VM did not know it yet, neither from the upstream nor from its entry.
      */
     recordLeaving(id: string, now: number): boolean {
         const state = this.states.get(id);
-        const isNew = this.departures.add(id) && state?.upstream.isLeaving !== true;
+        const isNew = this.leavingUpstreams.add(id) && state?.upstream.isLeaving !== true;
         if (state !== undefined) {
             state.leavingSince ??= now;
         }
         return isNew;
     }
 
-    /** Upstreams that stand and have said themselves that they leave, while their entries do not. */
+    /** Ids of known upstreams that have announced that they are leaving, while their entries do not show it. */
     listDeparting(): string[] {
         return this.listUpstreams().map(({ upstream }) => upstream)
-            .filter(({ id, isLeaving }) => !isLeaving && this.departures.has(id))
+            .filter(({ id, isLeaving }) => !isLeaving && this.leavingUpstreams.has(id))
             .map(({ id }) => id);
     }
 
     private isLeaving({ id, isLeaving }: Upstream): boolean {
-        return isLeaving || this.departures.has(id);
+        return isLeaving || this.leavingUpstreams.has(id);
     }
 
-    /** Whether an upstream may get new requests: its entry stands, and neither that nor itself says that it leaves. */
+    /**
+     * Whether an upstream may get new requests: it has an entry, and neither the entry nor the upstream says that it
+     * leaves.
+     */
     isUsable(id: string): boolean {
         const state = this.states.get(id);
         return state !== undefined && !this.isLeaving(state.upstream);
     }
 
-    /** Upstreams of a service that may get a request of this VM now: those that do not rest. */
+    /** Upstreams of a service that may get a request of this VM now: usable ones without a backoff. */
     listAwake(service: string, now: number): UpstreamState[] {
         return this.listUsable(service).filter(({ upstream }) => !this.rests.isResting(upstream.id, now));
     }
@@ -138,44 +141,45 @@
     }
 
     /**
-     * Takes an owner's word about its engine. News of an earlier owner, or older news of the same one, change nothing.
-     * @returns Whether it was newer than what was known.
+     * Applies an engine status from its owner. A status from an earlier owner, or an older one of the same owner, is
+     * ignored.
+     * @returns Whether the status was newer than the known one.
      */
-    updateNews(vm: string, news: EngineNews, now: number): boolean {
-        const state = this.states.get(news.engine);
+    updateNews(vm: string, status: EngineNews, now: number): boolean {
+        const state = this.states.get(status.engine);
         if (state === undefined) {
             return false;
         }
         const known = state.news;
         const isOlder = known !== undefined
-            && (known.fence > news.fence || (known.fence === news.fence && known.revision >= news.revision));
+            && (known.fence > status.fence || (known.fence === status.fence && known.revision >= status.revision));
         if (isOlder) {
             return false;
         }
-        for (const key of [...Object.keys(news.held), ...news.coming]) {
+        for (const key of [...Object.keys(status.held), ...status.coming]) {
             if (known === undefined || !(key in known.held)) {
                 state.warm.record(key);
             }
         }
-        state.news = news;
-        state.owner = news.isOwned ? vm : undefined;
-        state.ownLoadAtNews = { ...this.ownLoad.read(news.engine) };
-        state.prompts.record(news.load.largestPrompt, now);
+        state.news = status;
+        state.owner = status.isOwned ? vm : undefined;
+        state.ownLoadAtStatus = { ...this.ownLoad.read(status.engine) };
+        state.prompts.record(status.load.largestPrompt, now);
         return true;
     }
 
-    /** Takes an owner's word about the load on its engine and about one adapter, between two of its news. */
+    /** Applies an owner's report on the load of its engine and on one adapter, between two full status messages. */
     updateLoad(id: string, load: Readonly<UpstreamLoad>, adapter: AdapterNews | undefined, now: number): void {
         const state = this.states.get(id);
         if (state?.news === undefined) {
             return;
         }
         state.news = { ...state.news, load, ...mergeAdapter(state.news, adapter) };
-        state.ownLoadAtNews = { ...this.ownLoad.read(id) };
+        state.ownLoadAtStatus = { ...this.ownLoad.read(id) };
         state.prompts.record(load.largestPrompt, now);
     }
 
-    /** Forgets that a VM that is gone may give orders. Its next incarnation counts its messages anew. */
+    /** Records that a VM is gone and cannot give orders. Its next incarnation counts its messages from 0 again. */
     removeVm(vm: string): void {
         for (const state of this.states.values()) {
             if (state.owner === vm && state.news !== undefined) {
@@ -184,15 +188,15 @@
         }
     }
 
-    /** Counts a request of this VM until it has ended. */
+    /** Counts a request of this VM until it has finished. */
     addOwnLoad(share: LoadShare, now: number): LoadHandle {
         this.states.get(share.upstream)?.prompts.record(share.backlogTokens, now);
         return this.ownLoad.add(share);
     }
 
     /**
-     * Load of one upstream: what its owner last told, and what this VM has changed since. Of a plain server, which has no
-     * owner, only this VM's own requests are known.
+     * Load of one upstream: the load that its owner last reported, adjusted by this VM's own changes since. For a plain
+     * server, which has no owner, only this VM's own requests are known.
      */
     readLoad(id: string): UpstreamLoad {
         const own = this.ownLoad.read(id);
@@ -201,7 +205,7 @@
             return own;
         }
         const { load } = state.news;
-        const before = state.ownLoadAtNews;
+        const before = state.ownLoadAtStatus;
         return {
             active: Math.max(own.active, load.active + own.active - before.active),
             backlogTokens: Math.max(own.backlogTokens, load.backlogTokens + own.backlogTokens - before.backlogTokens),
@@ -211,7 +215,7 @@
         };
     }
 
-    /** Version of an adapter that an engine holds; undefined if it does not hold it as far as is known. */
+    /** Version of an adapter that an engine holds; undefined if the engine is not known to hold the adapter. */
     findHeldVersion(state: UpstreamState, key: string): number | undefined {
         if (state.news !== undefined) {
             return state.news.held[key];
--- a/packages/fleet/test/choose.test.ts
+++ b/packages/fleet/test/choose.test.ts
@@ -41,7 +41,7 @@
     };
 }
 
-function createNews(engine: string, news: Partial<EngineNews> = {}): EngineNews {
+function createStatus(engine: string, news: Partial<EngineNews> = {}): EngineNews {
     return {
         engine,
         fence: 1,
@@ -67,7 +67,7 @@
     const view = new FleetView();
     for (const id of ids) {
         view.updateUpstream(createUpstream(id), 0);
-        view.updateNews("vm", createNews(id), 0);
+        view.updateNews("vm", createStatus(id), 0);
     }
     return view;
 }
@@ -94,37 +94,37 @@
     return chooseEngine(createOptions(view, demand, now, penalties));
 }
 
-test("an engine that holds the adapter is chosen before one that would have to load it", () => {
+test("an engine that holds the adapter is preferred to an engine that must load it", () => {
     const view = createView(["e1", "e2", "e3"]);
-    view.updateNews("vm", createNews("e2", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateNews("vm", createStatus("e2", { revision: 2, held: { "base/a1": 1 } }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, "e2");
     assert.is(choice?.isReady, true);
     assert.is(choice?.version, 1);
 });
 
-test("an adapter that nobody holds is loaded on its home, the same on every VM", () => {
+test("every VM loads an adapter that no engine holds on the same preferred engine", () => {
     const first = choose(createView(["e1", "e2", "e3"]));
     const second = choose(createView(["e3", "e2", "e1"]));
     assert.is(first?.isReady, false);
     assert.is(first?.state.upstream.id, second?.state.upstream.id);
 });
 
-test("an adapter goes back to the engine that held it lately, wherever its home is", () => {
+test("an adapter returns to the engine that held it recently, even if another engine is preferred", () => {
     const ids = ["e1", "e2", "e3"];
-    const home = choose(createView(ids))!.state.upstream.id;
-    const other = ids.find(id => id !== home)!;
+    const preferred = choose(createView(ids))!.state.upstream.id;
+    const other = ids.find(id => id !== preferred)!;
     const view = createView(ids);
-    view.updateNews("vm", createNews(other, { revision: 2, held: { "base/a1": 1 } }), 0);
-    view.updateNews("vm", createNews(other, { revision: 3 }), 0);
+    view.updateNews("vm", createStatus(other, { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateNews("vm", createStatus(other, { revision: 3 }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, other);
     assert.is(choice?.isReady, false);
 });
 
-test("a second copy is loaded only once the first engine is far behind", () => {
+test("an adapter is loaded on a second engine only once the first engine has a long backlog", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createNews("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     const addBacklog = (tokens: number) => addLoad(view, { upstream: "e1", backlogTokens: tokens });
     addBacklog(9000);
     assert.is(choose(view)?.state.upstream.id, "e1");
@@ -132,30 +132,30 @@
     assert.is(choose(view)?.state.upstream.id, "e2");
 });
 
-test("an old version answers for a short time after a newer one is named, and then no more", () => {
+test("a replaced adapter version is used for a short time after a newer one is announced, and not afterwards", () => {
     const view = createView(["e1"]);
-    view.updateNews("vm", createNews("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     view.versions.update("base/a1", 2, 1000);
     assert.is(choose(view, createDemand(), 2000)?.version, 1);
     assert.is(choose(view, createDemand(), 3600)?.isReady, false);
-    view.updateNews("vm", createNews("e1", { revision: 3, held: { "base/a1": 2 } }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 3, held: { "base/a1": 2 } }), 0);
     assert.is(choose(view, createDemand(), 3600)?.version, 2);
 });
 
-test("a replaced version is not sent for where the engine would begin too late", () => {
+test("a replaced adapter version is not chosen on an engine that would start the request too late", () => {
     const view = createView(["e1", "e2"]);
     const [short, long] = [0, 80_000].map(backlogTokens => ({ ...noLoad, backlogTokens }));
     view.versions.update("base/a1", 2, 0);
-    view.updateNews("vm", createNews("e1", { revision: 2, held: { "base/a1": 1 }, load: short! }), 0);
-    view.updateNews("vm", createNews("e2", { revision: 2, held: { "base/a1": 2 }, load: long! }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, load: short! }), 0);
+    view.updateNews("vm", createStatus("e2", { revision: 2, held: { "base/a1": 2 }, load: long! }), 0);
     assert.is(choose(view, createDemand(), 1000)?.version, 1);
-    view.updateNews("vm", createNews("e1", { revision: 3, held: { "base/a1": 1 }, load: long! }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 3, held: { "base/a1": 1 }, load: long! }), 0);
     assert.is(choose(view, createDemand(), 1000)?.version, 2);
 });
 
-test("a newer version is loaded where the older one is not in use", () => {
+test("a newer adapter version is loaded on an engine where the older version is not in use", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createNews("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     view.versions.update("base/a1", 2, 1000);
     const late = choose(view, createDemand(), 3600);
     assert.is(late?.state.upstream.id, "e2");
@@ -165,13 +165,13 @@
     assert.is(choose(view, createDemand(), 1100)?.version, 1);
 });
 
-test("no engine is chosen for a load that nobody may order", () => {
+test("no engine is chosen for an adapter load that no VM may order", () => {
     const view = createView(["e1"]);
     view.removeVm("vm");
     assert.is(choose(view), undefined);
 });
 
-test("an engine that leaves, or is gone soon, gets nothing new", () => {
+test("an engine that is leaving or is about to be shut down gets no new requests", () => {
     const view = createView(["e1", "e2"]);
     const demand = createDemand({ adapter: undefined });
     view.updateUpstream(createUpstream("e1", { isLeaving: true }), 10);
@@ -179,22 +179,22 @@
     assert.is(choose(view, demand), undefined);
 });
 
-test("an engine without room for a request's tokens is the last choice", () => {
+test("an engine without memory for a request's tokens is the last choice", () => {
     const view = createView(["e1", "e2"]);
     addLoad(view, { upstream: "e1", kvTokens: 190_000 });
     addLoad(view, { upstream: "e2", backlogTokens: 20_000, kvTokens: 20_000 });
     assert.is(choose(view, createDemand({ adapter: undefined }))?.state.upstream.id, "e2");
 });
 
-test("an adapter is loaded elsewhere at once when the owner cannot reach the engine that holds it", () => {
+test("an adapter is loaded on another engine at once if the owner cannot reach the engine that holds it", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createNews("e1", { revision: 2, held: { "base/a1": 1 }, isReachable: false }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, isReachable: false }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, "e2");
     assert.is(choice?.isReady, false);
 });
 
-test("a server that cannot be reached, or fails, is avoided, and used if there is no other", () => {
+test("an unreachable server is avoided, but used if there is no other server", () => {
     const view = new FleetView();
     view.updateUpstream(createUpstream("s1", { service: "desk", slots: 6 }), 0);
     view.updateUpstream(createUpstream("s2", { service: "desk", slots: 6 }), 0);
@@ -204,15 +204,15 @@
     assert.is(chooseServer({ ...options, penalties: new Map([["s2", Infinity]]) })?.state.upstream.id, "s1");
 });
 
-test("news of an earlier owner, or older news of the same one, change nothing", () => {
+test("an engine status from an earlier owner, or an older one from the same owner, is ignored", () => {
     const view = createView(["e1"]);
-    assert.is(view.updateNews("b", createNews("e1", { fence: 3, revision: 0, held: { "base/a1": 1 } }), 0), true);
-    assert.is(view.updateNews("a", createNews("e1", { fence: 2, revision: 9 }), 0), false);
-    assert.is(view.updateNews("b", createNews("e1", { fence: 3, revision: 0 }), 0), false);
+    assert.is(view.updateNews("b", createStatus("e1", { fence: 3, revision: 0, held: { "base/a1": 1 } }), 0), true);
+    assert.is(view.updateNews("a", createStatus("e1", { fence: 2, revision: 9 }), 0), false);
+    assert.is(view.updateNews("b", createStatus("e1", { fence: 3, revision: 0 }), 0), false);
     assert.is(view.findUpstream("e1")?.owner, "b");
 });
 
-test("word of one adapter and the load on an engine holds until its owner's next news", () => {
+test("a report of one adapter and of an engine's load holds until the owner's next status", () => {
     const view = createView(["e1"]);
     const load = { ...noLoad, active: 3, backlogTokens: 900 };
     view.updateLoad("e1", load, { key: "base/a1", version: 2, isComing: false }, 0);
@@ -220,12 +220,12 @@
     const { held, coming } = view.findUpstream("e1")!.news!;
     assert.equal([held, coming], [{ "base/a1": 2 }, ["base/a2"]]);
     assert.is(view.readLoad("e1").backlogTokens, 900);
-    view.updateNews("vm", createNews("e1", { revision: 2 }), 0);
+    view.updateNews("vm", createStatus("e1", { revision: 2 }), 0);
     assert.equal(view.findUpstream("e1")!.news!.held, {});
     assert.is(view.readLoad("e1").backlogTokens, 0);
 });
 
-test("homes move only for keys of an engine that goes", () => {
+test("the removal of an engine changes the preferred engine only of the adapters that preferred it", () => {
     const items = ["e1", "e2", "e3", "e4"].map(id => ({ id }));
     for (let index = 0; index < 50; index++) {
         const before = rankHomes(`k${index}`, items)[0]!.id;
@@ -234,7 +234,7 @@
     }
 });
 
-/** Counts what a choice looks up. */
+/** Counts the lookups of a choice. */
 class CountingView extends FleetView {
     readonly lookups = { versions: 0, loads: 0 };
 
@@ -250,24 +250,24 @@
 }
 
 /**
- * The failure: on days of 91 VMs and 98 engines callers got too little, those of long prompts least, as VMs had no time. A
- * choice among 98 engines took 0.4 ms once warm and over 1 ms before, at least once a request and again in each 0.3 s that
- * it waits: it hashed the adapter for each engine, and looked up its versions three times and its load twice.
+ * Guards against VMs that run out of processor time: with 91 VMs and 98 engines a choice took 0.4 ms once warm and over
+ * 1 ms before, since it hashed the adapter for each engine, looked up its versions three times and its load twice. A
+ * choice runs at least once for each request, and again every 0.3 s while the request waits.
  */
-test("a choice among 98 engines looks at each of them once", () => {
+test("a choice among 98 engines reads the load of each engine once", () => {
     const view = new CountingView();
     for (let index = 0; index < 98; index += 1) {
         const id = `e${index}`;
         view.updateUpstream(createUpstream(id), 0);
-        view.updateNews("vm", createNews(id, { held: { [`base/a${index % 30}`]: 1 } }), 0);
+        view.updateNews("vm", createStatus(id, { held: { [`base/a${index % 30}`]: 1 } }), 0);
     }
     choose(view, createDemand({ adapter: "a1", promptTokens: 18_000 }));
     assert.ok(view.lookups.loads <= 98, `${view.lookups.loads} loads read`);
-    // Those that lack the adapter are asked once more what loading it would take.
+    // Engines without the adapter need a second lookup for the cost of loading it.
     assert.ok(view.lookups.versions <= 2 * 98, `${view.lookups.versions} versions looked up`);
 });
 
-test("homes are spread evenly over 98 engines, first and second ones", () => {
+test("the first and second preferred engines of many adapters are spread evenly over 98 engines", () => {
     const items = Array.from({ length: 98 }, (_, index) => ({ id: `engine-${index}` }));
     const counts = new Map<string, number>();
     for (let index = 0; index < 9800; index += 1) {
@@ -276,13 +276,13 @@
             counts.set(name, (counts.get(name) ?? 0) + 1);
         }
     }
-    // 100 each on average, with a spread of 10 if they are drawn at random.
+    // Each count is 100 on average, with a standard deviation of 10 for random choices.
     assert.is(counts.size, 2 * 98);
     assert.ok(Math.min(...counts.values()) >= 60, `${Math.min(...counts.values())}`);
     assert.ok(Math.max(...counts.values()) <= 140, `${Math.max(...counts.values())}`);
 });
 
-test("a long prompt goes where it holds up few long answers, and long answers leave that engine", () => {
+test("a long prompt goes to the engine with the fewest long responses, and new long responses avoid it", () => {
     const view = createView(["e1", "e2", "e3"]);
     for (const upstream of ["e1", "e3"]) {
         for (let answers = 0; answers < 4; answers++) {
@@ -297,7 +297,7 @@
     assert.is(choose(view, longPrompt, 400)?.state.upstream.id, "e2");
 });
 
-test("the size from which on a prompt holds up others is learned from streams", () => {
+test("the prompt size from which on other streams are delayed is learned from streams", () => {
     const threshold = new PauseThreshold();
     const start = threshold.tokens;
     for (let streams = 0; streams < 30; streams++) {
@@ -312,7 +312,7 @@
     assert.ok(threshold.tokens < start * 1.5 && threshold.tokens > start * 1.2);
 });
 
-test("the largest prompt of a time is remembered", () => {
+test("the prompt history finds the largest prompt since a given time", () => {
     const history = new PromptHistory();
     history.record(9000, 100);
     history.record(20_000, 200);
@@ -322,15 +322,15 @@
     assert.is(history.findLargest(350), 0);
 });
 
-test("kept parts count from the start of the prompt, for the same adapter, as long as they are fresh", () => {
-    const kept = new KeptParts();
+test("cached parts count from the start of the prompt, for the same engine and adapter, until they expire", () => {
+    const cache = new KeptParts();
     const demand = createDemand({ parts: [{ id: "p", tokens: 100 }, { id: "q", tokens: 50 }, { id: "r", tokens: 9 }] });
-    kept.record("e1", demand, 0);
+    cache.record("e1", demand, 0);
     const other = { ...demand, parts: [{ id: "p", tokens: 100 }, { id: "x", tokens: 5 }, { id: "r", tokens: 9 }] };
-    assert.is(kept.countKeptTokens("e1", other, 10), 100);
-    assert.is(kept.countKeptTokens("e1", { ...other, adapter: "a2" }, 10), 0);
-    assert.is(kept.countKeptTokens("e2", other, 10), 0);
-    assert.is(kept.countKeptTokens("e1", other, 60_000), 0);
+    assert.is(cache.countKeptTokens("e1", other, 10), 100);
+    assert.is(cache.countKeptTokens("e1", { ...other, adapter: "a2" }, 10), 0);
+    assert.is(cache.countKeptTokens("e2", other, 10), 0);
+    assert.is(cache.countKeptTokens("e1", other, 60_000), 0);
 });
 
 test.run();
--- a/packages/fleet/test/herd.test.ts
+++ b/packages/fleet/test/herd.test.ts
@@ -1,39 +1,43 @@
 /**
- * The failure: on days of 91 VMs a fifth of the drafts (prompts of 9,000 tokens, an aim of 1 s) were late, though engines stood
- * idle and nobody waited for an adapter: half of the late ones were sent within 13 ms of their arrival, and their first event
- * came 1.6 s later in place of the 0.4 s that had been expected. All VMs hear of an engine's load at the same moment, once in
- * 1.1 s at that size; until the next time all of them send to the one that was idle then. The owner, which knows better, let
- * everything in whose adapter was loaded. Each late draft had 3 others of its adapter sent to its engine in the 1.5 s before it
- * by a third of the VMs alone; drafts in time had fewer than one.
+ * Guards against a thundering herd: with 91 VMs a fifth of the requests with prompts of 9,000 tokens missed a latency
+ * target of 1 s while engines were idle. Half of them were sent within 13 ms of their arrival, but their first event
+ * came after 1.6 s in place of the expected 0.4 s. All VMs receive an engine's load at the same time, once in 1.1 s at
+ * that size, and until the next status all of them send to the engine that was idle then: in the 1.5 s before a late
+ * request, a third of the VMs alone sent 3 others to the same engine. The owner knew the current load, but admitted
+ * every request whose adapter was loaded.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type HerdLoad, runHerd } from "./herd.js";
+import { type BurstLoad, runBurst } from "./herd.js";
 
-/** Drafts of one busy adapter at seven tenths of what the engines that hold it can read. */
-const load: HerdLoad = {
+/** Requests for one busy adapter, at seven tenths of the prompt tokens that the engines with this adapter can read. */
+const load: BurstLoad = {
     seed: 1,
     vms: 91,
     engines: 8,
     requestsPerSecond: 24,
     promptTokens: 9000,
-    newsPauseMs: 1080,
+    statusIntervalMs: 1080,
     lengthMs: 30_000,
 };
 
-test("drafts of many VMs are spread over the engines that hold their adapter", () => {
+test("requests from many VMs are spread over the engines that hold their adapter", () => {
     for (const seed of [1, 2, 3]) {
-        const { onTime, asks, asked } = runHerd({ ...load, seed });
+        const { withinTarget: onTime, admissionRequests: asks, requests: asked } = runBurst({ ...load, seed });
         assert.ok(asked > 500);
-        assert.ok(onTime > 0.95, `${onTime.toFixed(3)} on time, seed ${seed}`);
-        assert.ok(asks < 3, `${asks.toFixed(2)} questions a request, seed ${seed}`);
+        assert.ok(onTime > 0.95, `${onTime.toFixed(3)} within the target, seed ${seed}`);
+        assert.ok(asks < 3, `${asks.toFixed(2)} admission requests per request, seed ${seed}`);
     }
 });
 
-test("where news are quick, hardly a request asks twice", () => {
-    const { onTime, asks } = runHerd({ ...load, newsPauseMs: 50, requestsPerSecond: 12 });
-    assert.ok(onTime > 0.95, `${onTime.toFixed(3)} on time`);
-    assert.ok(asks < 1.3, `${asks.toFixed(2)} questions a request`);
+test("with frequent status messages, hardly any request needs a second admission request", () => {
+    const { withinTarget: onTime, admissionRequests: asks } = runBurst({
+        ...load,
+        statusIntervalMs: 50,
+        requestsPerSecond: 12,
+    });
+    assert.ok(onTime > 0.95, `${onTime.toFixed(3)} within the target`);
+    assert.ok(asks < 1.3, `${asks.toFixed(2)} admission requests per request`);
 });
 
 test.run();
--- a/packages/fleet/test/herd.ts
+++ b/packages/fleet/test/herd.ts
@@ -5,91 +5,91 @@
 const adapter = "a1";
 const key = `${model}/${adapter}`;
 
-/** Longest delay of an answer's first event that is on time, in milliseconds. */
-const aimMs = 1000;
+/** Latency target for the first event of a response, in milliseconds. */
+const latencyTargetMs = 1000;
 
-/** Step of virtual time, in milliseconds. */
+/** Step of the virtual time, in milliseconds. */
 const stepMs = 2;
 
-/** Time from the end of a prompt to the answer's end, in milliseconds. */
-const answerMs = 300;
+/** Time from the end of the prompt processing to the end of the response, in milliseconds. */
+const responseMs = 300;
 
-/** Most times that one request chooses anew. */
+/** Most times that a request is redirected to another engine. */
 const maxRedirects = 4;
 
-/** A load of one adapter's requests on the engines that hold it. */
-export interface HerdLoad {
+/** Requests for one adapter to the engines that hold it. */
+export interface BurstLoad {
     readonly seed: number;
     readonly vms: number;
     readonly engines: number;
     readonly requestsPerSecond: number;
     readonly promptTokens: number;
-    /** Pause between two tellings of an engine's load to all VMs, in milliseconds. */
-    readonly newsPauseMs: number;
+    /** Interval between two status messages of an engine to all VMs, in milliseconds. */
+    readonly statusIntervalMs: number;
     readonly lengthMs: number;
 }
 
-/** What callers got. */
-export interface HerdResult {
-    readonly asked: number;
-    /** Share of requests whose first event was on time. */
-    readonly onTime: number;
-    /** Messages that asked an owner, for each request. */
-    readonly asks: number;
+/** Results of a simulated burst. */
+export interface BurstResult {
+    readonly requests: number;
+    /** Share of requests whose first event came within the latency target. */
+    readonly withinTarget: number;
+    /** Requests for admission that owners got for each request. */
+    readonly admissionRequests: number;
 }
 
-interface HerdEngine {
+interface BurstEngine {
     readonly id: string;
     readonly admission: EngineAdmission;
-    readonly toldOffsetMs: number;
-    /** When it has read all prompts that were sent to it. */
+    readonly statusOffsetMs: number;
+    /** When the engine has read all prompts that were sent to it. */
     freeAt: number;
     revision: number;
 }
 
-interface HerdRun {
+interface BurstRun {
     readonly vm: number;
     readonly ticket: number;
-    readonly engine: HerdEngine;
+    readonly engine: BurstEngine;
     readonly firstAt: number;
     readonly end: () => void;
     readonly begin: () => void;
-    hasBegun: boolean;
+    hasStarted: boolean;
 }
 
-/** Plays requests for one adapter through choices of many VMs and the engines' owners, in virtual time. */
-export function runHerd(load: HerdLoad): HerdResult {
+/** Simulates requests for one adapter through the choices of many VMs and the engines' owners, in virtual time. */
+export function runBurst(load: BurstLoad): BurstResult {
     const random = createRandom(load.seed);
     let now = 0;
-    const engines = Array.from({ length: load.engines }, (_, index): HerdEngine => {
+    const engines = Array.from({ length: load.engines }, (_, index): BurstEngine => {
         const places = new EnginePlaces({ limits, models: [], held: { [key]: 1 }, sequence: 1, now: -1000 });
         return {
             id: `e${index}`,
             admission: new EngineAdmission({ engine: `e${index}`, places, mayUse: () => true }),
-            toldOffsetMs: Math.floor(random() * load.newsPauseMs / stepMs) * stepMs,
+            statusOffsetMs: Math.floor(random() * load.statusIntervalMs / stepMs) * stepMs,
             freeAt: 0,
             revision: 0,
         };
     });
     const views = Array.from({ length: load.vms }, () => new FleetView());
-    const tell = (engine: HerdEngine): void => {
+    const broadcastStatus = (engine: BurstEngine): void => {
         engine.revision += 1;
         for (const view of views) {
             const { load } = engine.admission;
-            const news = { canOrder: false, revision: engine.revision, held: { [key]: 1 }, load };
-            view.updateNews("owner", createNews(engine.id, news), now);
+            const status = { canOrder: false, revision: engine.revision, held: { [key]: 1 }, load };
+            view.updateNews("owner", createNews(engine.id, status), now);
         }
     };
     for (const engine of engines) {
         views.forEach(view => view.updateUpstream(createUpstream(engine.id), 0));
-        tell(engine);
+        broadcastStatus(engine);
     }
-    const runs = new Set<HerdRun>();
+    const runs = new Set<BurstRun>();
     const demand = { model, adapter, promptTokens: load.promptTokens, outputTokens: 60, parts: [] };
-    let [asked, onTime, asks] = [0, 0, 0];
+    let [requests, withinTarget, admissionRequests] = [0, 0, 0];
 
     const arrive = (): void => {
-        asked += 1;
+        requests += 1;
         const vm = Math.floor(random() * load.vms);
         const view = views[vm]!;
         for (let redirects = 0; redirects <= maxRedirects; redirects += 1) {
@@ -105,16 +105,16 @@
                 canAsk: () => true,
             })!;
             const engine = engines.find(({ id }) => id === choice.state.upstream.id)!;
-            asks += 1;
+            admissionRequests += 1;
             const answer = engine.admission.ask(`vm${vm}`, {
-                ticket: asked,
+                ticket: requests,
                 model,
                 key,
                 prefillTokens: choice.prefillTokens,
                 kvTokens: load.promptTokens,
                 hasLongAnswer: false,
                 runMs: 500,
-                onTimeMs: aimMs,
+                onTimeMs: latencyTargetMs,
                 patienceMs: 4000,
                 endMs: 5000,
                 expectedQueueMs: redirects < maxRedirects ? choice.waitMs : undefined,
@@ -123,38 +123,42 @@
                 view.updateLoad(engine.id, answer.load, undefined, now);
                 continue;
             }
-            send(vm, asked, view, engine, choice.prefillTokens);
+            send(vm, requests, view, engine, choice.prefillTokens);
             return;
         }
     };
-    const send = (vm: number, ticket: number, view: FleetView, engine: HerdEngine, backlogTokens: number): void => {
+    const send = (vm: number, ticket: number, view: FleetView, engine: BurstEngine, backlogTokens: number): void => {
         engine.freeAt = Math.max(engine.freeAt, now) + load.promptTokens / prefillTokensPerMs;
-        onTime += engine.freeAt - now <= aimMs ? 1 : 0;
+        withinTarget += engine.freeAt - now <= latencyTargetMs ? 1 : 0;
         const share = { upstream: engine.id, backlogTokens, kvTokens: load.promptTokens, hasLongAnswer: false };
         const own = view.addOwnLoad(share, now);
-        runs.add({ vm, ticket, engine, firstAt: engine.freeAt, hasBegun: false, ...own });
+        runs.add({ vm, ticket, engine, firstAt: engine.freeAt, hasStarted: false, ...own });
     };
     for (; now < load.lengthMs; now += stepMs) {
         for (const run of runs) {
-            if (!run.hasBegun && now >= run.firstAt) {
-                run.hasBegun = true;
+            if (!run.hasStarted && now >= run.firstAt) {
+                run.hasStarted = true;
                 run.begin();
                 run.engine.admission.begin(`vm${run.vm}`, run.ticket);
             }
-            if (now >= run.firstAt + answerMs) {
+            if (now >= run.firstAt + responseMs) {
                 runs.delete(run);
                 run.end();
                 run.engine.admission.end(`vm${run.vm}`, run.ticket, now);
             }
         }
         for (const engine of engines) {
-            if (now % load.newsPauseMs === engine.toldOffsetMs) {
-                tell(engine);
+            if (now % load.statusIntervalMs === engine.statusOffsetMs) {
+                broadcastStatus(engine);
             }
         }
         if (random() < load.requestsPerSecond * stepMs / 1000) {
             arrive();
         }
     }
-    return { asked, onTime: onTime / asked, asks: asks / asked };
+    return {
+        requests,
+        withinTarget: withinTarget / requests,
+        admissionRequests: admissionRequests / requests,
+    };
 }
