--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** What a VM knows of engines and services, and the decisions that rest on it. Pure: time is handed in. */
+/** A VM's view of engines and services, and the decisions based on it. Pure: callers pass the time. */
 export { type AddressedAnswer, EngineAdmission, type EngineAdmissionOptions } from "./admission.js";
 export { RetryBudget, type RetryBudgetOptions } from "./budget.js";
 export {
