--- a/packages/fleet/src/view.ts
+++ b/packages/fleet/src/view.ts
@@ -28,7 +28,7 @@
 }
 
 /** Status of one adapter, as reported by an engine's owner. */
-export interface AdapterNews {
+export interface AdapterStatus {
     readonly key: string;
     /** Undefined if the adapter is not loaded. */
     readonly version: number | undefined;
@@ -36,7 +36,7 @@
 }
 
 /** Merges the status of one adapter into the adapters of an engine's status. */
-function mergeAdapter(status: EngineNews, adapter: AdapterNews | undefined): Pick<EngineNews, "held" | "coming"> {
+function mergeAdapter(status: EngineNews, adapter: AdapterStatus | undefined): Pick<EngineNews, "held" | "coming"> {
     const { held, coming } = status;
     if (adapter === undefined) {
         return { held, coming };
@@ -169,7 +169,7 @@
     }
 
     /** Applies an owner's report on the load of its engine and on one adapter, between two full status messages. */
-    updateLoad(id: string, load: Readonly<UpstreamLoad>, adapter: AdapterNews | undefined, now: number): void {
+    updateLoad(id: string, load: Readonly<UpstreamLoad>, adapter: AdapterStatus | undefined, now: number): void {
         const state = this.states.get(id);
         if (state?.news === undefined) {
             return;
