--- a/packages/node/src/requests/admissions.ts
+++ b/packages/node/src/requests/admissions.ts
@@ -1,58 +1,58 @@
 import type { AdmissionAnswer, AdmissionRequest, UpstreamLoad } from "@radishreel/fleet";
 
 /**
- * An owner that has not answered for this long is taken to be frozen or out of reach, in milliseconds. Answers take some
- * 3 ms, 30 ms where a VM is busy; a link that has gone silent is only found after seconds.
+ * Time without a reply after which an owner counts as frozen or unreachable, in milliseconds. Replies take about 3 ms, or
+ * 30 ms from a busy VM, while a silent link is detected only after seconds.
  */
-const answerTimeoutMs = 180;
+const replyTimeoutMs = 180;
 
-/** How long an owner that did not answer is not asked, in milliseconds: its link is found dead in 1.5 s if it is. */
-const silencePauseMs = 1000;
+/** How long an owner that did not reply is not asked again, in milliseconds. A dead link is detected within 1.5 s. */
+const unresponsivePauseMs = 1000;
 
-/** What became of a request that asked an engine's owner. */
+/** Outcome of a request for admission at an engine. */
 export type AdmissionOutcome =
-    /** It may be sent. */
+    /** The request may be sent to the engine. */
     | { readonly kind: "admitted"; readonly version: number | undefined; }
-    /** The owner will not let it in while its caller waits; after this time it could be, in milliseconds. */
+    /** The owner cannot admit the request within the caller's time limit, but expects to after this time, in milliseconds. */
     | { readonly kind: "declined"; readonly expectedMs: number; }
-    /** The engine has clearly more to do than was expected, and the request was not let in. */
+    /** The engine is clearly busier than expected, and the request was not admitted. */
     | {
         readonly kind: "busier";
         readonly load: UpstreamLoad;
-        /** Version of its adapter that is loaded there. */
+        /** Version of the request's adapter that the engine holds. */
         readonly version: number | undefined;
-        /** Whether its adapter is on its way for others. */
+        /** Whether the request's adapter is being loaded for other requests. */
         readonly isComing: boolean;
     }
-    /** The owner is gone, is another one, or does not answer. */
+    /** The owner is gone, was replaced, or does not reply. */
     | { readonly kind: "lost"; };
 
-/** Messages about admissions, from the VM of a request to the owner of an engine. */
+/** Messages about admissions, from the VM that serves a request to the owner of an engine. */
 export type AdmissionMessage =
     | { readonly type: "admit"; readonly engine: string; readonly request: AdmissionRequest; }
     | { readonly type: "begun"; readonly engine: string; readonly ticket: number; }
     | { readonly type: "ended"; readonly engine: string; readonly ticket: number; }
     | { readonly type: "runs"; readonly engine: string; readonly requests: AdmissionRequest[]; };
 
-/** A request of this VM at the owner of an engine. */
+/** A request of this VM that the owner of an engine admits or counts. */
 export interface Admission {
     readonly engine: string;
     readonly outcome: Promise<AdmissionOutcome>;
-    /** When it is expected to be let in. */
+    /** When the owner expects to admit the request. */
     readonly expectedAt: number;
-    /** Tells the owner that the prompt is read. */
-    begin(): void;
-    /** Tells the owner that the request has ended, or waits no longer. */
-    end(): void;
+    /** Notifies the owner that the engine has read the prompt. */
+    start(): void;
+    /** Notifies the owner that the request has finished or no longer waits. */
+    finish(): void;
 }
 
-/** What a request tells an owner of itself. */
+/** Details of a request that are sent to the owner. */
 export type AdmissionDetails = Omit<AdmissionRequest, "ticket">;
 
 /** Options of {@link Admissions}. */
 export interface AdmissionsOptions {
     readonly readTime: () => number;
-    /** Sends to a VM, this one included. @returns Whether it could be sent. */
+    /** Sends a message to a VM, which may be this one. @returns Whether the message could be sent. */
     readonly send: (vm: string, message: AdmissionMessage) => boolean;
 }
 
@@ -60,11 +60,11 @@
     readonly engine: string;
     readonly request: AdmissionRequest;
     readonly askedAt: number;
-    /** The VM that was asked; undefined if there was none to ask. */
+    /** The VM that was asked; undefined if the engine had no reachable owner. */
     owner: string | undefined;
     isAdmitted: boolean;
     expectedAt: number;
-    finish: (outcome: AdmissionOutcome) => void;
+    resolveOutcome: (outcome: AdmissionOutcome) => void;
     timer: NodeJS.Timeout | undefined;
 }
 
@@ -75,46 +75,46 @@
 }
 
 /**
- * The requests of this VM at engines, as their owners are told of them: which wait, which run, and which owner knows. Each
- * new owner of an engine is told all that runs there.
+ * Tracks which requests of this VM wait for admission at engines, which run there, and which owner knows of each. Each new
+ * owner of an engine receives all requests that run there.
  */
 export class Admissions {
     private readonly tickets = new Map<number, OpenTicket>();
-    /** Until when each owner that did not answer is not asked, unless it is heard of before. */
-    private readonly silentUntil = new Map<string, number>();
+    /** Until when each owner that did not reply is not asked, unless it sends a message before. */
+    private readonly unresponsiveUntil = new Map<string, number>();
     private lastTicket = 0;
 
     constructor(private readonly options: AdmissionsOptions) {}
 
-    /** Whether a VM answers, as far as is known. */
+    /** Whether a VM is believed to reply. */
     isResponsive(owner: string): boolean {
-        return this.options.readTime() >= (this.silentUntil.get(owner) ?? -Infinity);
+        return this.options.readTime() >= (this.unresponsiveUntil.get(owner) ?? -Infinity);
     }
 
-    /** Takes any sign of life of a VM. */
+    /** Records that any message arrived from a VM. */
     recordHeard(vm: string): void {
-        this.silentUntil.delete(vm);
+        this.unresponsiveUntil.delete(vm);
     }
 
-    /** Asks the owner of an engine to let a request in. */
+    /** Requests admission from the owner of an engine. */
     ask(owner: string, engine: string, details: AdmissionDetails): Admission {
         const { id, ticket, admission } = this.open(engine, details, owner);
-        ticket.timer = setTimeout(() => this.recordSilence(id), answerTimeoutMs);
+        ticket.timer = setTimeout(() => this.recordTimeout(id), replyTimeoutMs);
         if (!this.options.send(owner, { type: "admit", engine, request: ticket.request })) {
             this.close(id, { kind: "lost" });
         }
         return admission;
     }
 
-    /** Counts a request that runs without an owner's word, since there is none to ask. */
+    /** Adds a request that runs without admission, since the engine has no reachable owner. */
     addRun(engine: string, details: AdmissionDetails): Admission {
         const { ticket, admission } = this.open(engine, details, undefined);
         ticket.isAdmitted = true;
-        ticket.finish({ kind: "admitted", version: details.version });
+        ticket.resolveOutcome({ kind: "admitted", version: details.version });
         return admission;
     }
 
-    /** Takes an owner's answer. */
+    /** Receives an owner's reply. */
     receiveAnswer(vm: string, answer: AdmissionAnswer): void {
         const found = this.tickets.get(answer.ticket);
         if (found === undefined || found.owner !== vm) {
@@ -127,7 +127,7 @@
                 return;
             case "admitted":
                 found.isAdmitted = true;
-                found.finish({ kind: "admitted", version: answer.version });
+                found.resolveOutcome({ kind: "admitted", version: answer.version });
                 return;
             case "notOwned":
                 this.close(answer.ticket, { kind: "lost" });
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Tells a new owner of an engine all that runs there; what waits at the one before is lost. */
+    /** Sends a new owner all requests that run on its engine. Requests that wait at the previous owner end as lost. */
     updateOwner(engine: string, owner: string): void {
         for (const [id, ticket] of [...this.tickets]) {
             if (ticket.engine === engine && !ticket.isAdmitted && ticket.owner !== owner) {
@@ -156,7 +156,7 @@
         this.options.send(owner, this.createRuns(engine, owner));
     }
 
-    /** All requests of this VM that run on an engine, for its owner, which is told of their ends from now on. */
+    /** Lists the requests of this VM that run on an engine, and records the owner that is notified when they finish. */
     createRuns(engine: string, owner: string): Extract<AdmissionMessage, { type: "runs"; }> {
         const requests: AdmissionRequest[] = [];
         for (const ticket of this.tickets.values()) {
@@ -169,7 +169,7 @@
         return { type: "runs", engine, requests };
     }
 
-    /** Loses what waits at a VM that is gone. */
+    /** Ends the requests that wait at a VM that is gone as lost. */
     removeOwner(vm: string): void {
         for (const [id, ticket] of [...this.tickets]) {
             if (ticket.owner === vm && !ticket.isAdmitted) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Loses what waits for an engine that is gone. */
+    /** Ends the requests that wait for an engine that is gone as lost. */
     removeEngine(engine: string): void {
         for (const [id, ticket] of [...this.tickets]) {
             if (ticket.engine === engine && !ticket.isAdmitted) {
@@ -202,7 +202,7 @@
             owner,
             isAdmitted: false,
             expectedAt: askedAt,
-            finish,
+            resolveOutcome: finish,
             timer: undefined,
         };
         this.tickets.set(id, ticket);
@@ -212,20 +212,20 @@
             get expectedAt() {
                 return ticket.expectedAt;
             },
-            begin: () => this.sendBegun(id),
-            end: () => this.sendEnded(id),
+            start: () => this.sendStarted(id),
+            finish: () => this.sendFinished(id),
         };
         return { id, ticket, admission };
     }
 
-    private sendBegun(id: number): void {
+    private sendStarted(id: number): void {
         const ticket = this.tickets.get(id);
         if (ticket?.owner !== undefined) {
             this.options.send(ticket.owner, { type: "begun", engine: ticket.engine, ticket: id });
         }
     }
 
-    private sendEnded(id: number): void {
+    private sendFinished(id: number): void {
         const ticket = this.tickets.get(id);
         if (ticket === undefined) {
             return;
@@ -237,24 +237,24 @@
         }
     }
 
-    /** Ends a request that was not let in. */
+    /** Ends a request that was not admitted. */
     private close(id: number, outcome: AdmissionOutcome): void {
         const ticket = this.tickets.get(id);
         if (ticket !== undefined) {
             this.tickets.delete(id);
             clearTimeout(ticket.timer);
-            ticket.finish(outcome);
+            ticket.resolveOutcome(outcome);
         }
     }
 
-    /** An owner has not answered: it is not asked again before it is heard of. */
-    private recordSilence(id: number): void {
+    /** Handles an owner that did not reply: it is not asked for a while, unless it sends a message before. */
+    private recordTimeout(id: number): void {
         const ticket = this.tickets.get(id);
         if (ticket?.owner === undefined) {
             return;
         }
-        this.silentUntil.set(ticket.owner, this.options.readTime() + silencePauseMs);
-        // Should it wake up, it must not keep a place for this one.
+        this.unresponsiveUntil.set(ticket.owner, this.options.readTime() + unresponsivePauseMs);
+        // If the owner resumes, it must not reserve room for this request.
         this.options.send(ticket.owner, { type: "ended", engine: ticket.engine, ticket: id });
         this.close(id, { kind: "lost" });
     }
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -6,27 +6,27 @@
 import { Exchange, type ExchangePhase, type ExchangeReceiver } from "./exchange.js";
 import { readWords, type UpstreamWords } from "./words.js";
 
-/** Most bytes of a plain answer that are held until it is whole; larger ones are passed on as they come. */
-const maxHeldBytes = 256 * 1024;
+/** Maximum bytes of a plain response that are buffered until it is complete; larger responses are streamed to the caller. */
+const maxBufferedBytes = 256 * 1024;
 
 /** How one attempt at an upstream ended. */
 export type AttemptEnd =
-    /** The caller has the whole answer. */
+    /** The caller has received the complete response. */
     | { readonly kind: "complete"; readonly status: number; }
-    /** The upstream vouches that it did not run the request, or nothing was sent to it. */
+    /** The upstream confirms that it did not run the request, or nothing was sent to it. */
     | { readonly kind: "notRun"; readonly wasSent: boolean; readonly isMisdirected: boolean; readonly detail: string; }
-    /** The upstream ran the request and failed: a whole answer that the caller has not got yet. */
+    /** The upstream ran the request and failed with a complete response, which has not been sent to the caller. */
     | {
         readonly kind: "failed";
         readonly status: number;
         readonly headers: RawHeaders;
         readonly body: Buffer;
     }
-    /** Nobody can tell whether it ran. */
+    /** Whether the request ran is unknown. */
     | { readonly kind: "broken"; readonly reason: BreakReason; readonly detail: string; }
     | { readonly kind: "callerLeft"; };
 
-/** Why an attempt broke. */
+/** Why an attempt ended with an unknown outcome. */
 export type BreakReason =
     | "connectionLost"
     | "upstreamSilent"
@@ -35,13 +35,13 @@
     | "timeout"
     | "versionReplaced";
 
-/** A stream's progress over all its attempts. */
+/** Progress of a stream across all attempts of its request. */
 export interface StreamProgress {
-    /** Id of the last event that the caller got. */
+    /** Id of the last event that was sent to the caller. */
     lastEventId: string | undefined;
-    /** Events that the caller got. */
+    /** Number of events that were sent to the caller. */
     events: number;
-    /** When the first one went to the caller; undefined before that. */
+    /** When the first event was sent to the caller; undefined before that. */
     firstEventAt: number | undefined;
     lastEventAt: number;
     /** Longest pause between two events, in milliseconds. */
@@ -56,62 +56,62 @@
     readonly body: Buffer | undefined;
     readonly dialect: RequestDialect;
     readonly pool: ConnectionPool;
-    /** Incarnation that the request is sent to. */
+    /** Id of the upstream incarnation that the request is sent to. */
     readonly upstreamId: string;
     readonly address: string;
     readonly send: SendOptions;
-    /** Whether it must use a new connection. */
+    /** Whether the attempt must use a new connection. */
     readonly isFresh: boolean;
     readonly progress: StreamProgress;
-    /** Longest wait for the first byte of the answer, or the first event, in milliseconds. */
+    /** Maximum wait for the first byte of the response, or for the first event of a stream, in milliseconds. */
     readonly firstByteMs: number;
-    /** How long a stream may still take to begin, in milliseconds; infinite for the newest version of an adapter. */
-    readonly readBeginMs: () => number;
-    /** Longest wait between two parts of the answer, in milliseconds. */
+    /** Time left for a stream to start, in milliseconds; infinite for the newest version of an adapter. */
+    readonly readStartLimitMs: () => number;
+    /** Maximum wait between two chunks of the response, in milliseconds. */
     readonly pauseMs: number;
-    /** Time left until the request must have ended, in milliseconds. */
+    /** Time left until the deadline of the request, in milliseconds. */
     readonly timeLeftMs: number;
     readonly readTime: () => number;
     readonly checkBeforeSend: () => boolean;
-    /** The head of the answer has come: streams end long after it. */
-    readonly onWords: (words: UpstreamWords) => void;
-    /** The answer has begun. */
-    readonly onBegin: () => void;
+    /** Called when the head of the response arrives, which for streams is long before their end. */
+    readonly onMetadata: (words: UpstreamWords) => void;
+    /** Called when the first event or chunk is about to be sent to the caller. */
+    readonly onStart: () => void;
 }
 
 /**
- * One send of a request to one upstream. What its end proves is decided here alone:
+ * One attempt to send a request to one upstream. This class alone decides what the end of an attempt proves:
  *
- * | what was seen | end |
+ * | observation | end |
  * | --- | --- |
- * | no byte written | not run |
- * | an answer that says that it was not run, or that another incarnation or adapter is there | not run |
- * | a whole answer that echoes the request's id | complete, or failed from 500 on |
- * | an answer without signature, with another id, cut short, silent; a reset; a close | broken: it may have run |
+ * | no byte was written | not run |
+ * | a response that says that the request was not run, or that another incarnation or adapter is there | not run |
+ * | a complete response that echoes the request's id | complete, or failed from status 500 on |
+ * | a response that is unsigned, truncated, stalled or has another id; a reset; a close | broken: it may have run |
  */
 export class Attempt implements ExchangeReceiver {
     readonly end: Promise<AttemptEnd>;
-    private finishAttempt: (end: AttemptEnd) => void = () => {};
+    private resolveEnd: (end: AttemptEnd) => void = () => {};
     private readonly exchange: Exchange;
     private readonly connection: UpstreamConnection;
     private readonly splitter = new EventSplitter();
-    private readonly deadline: NodeJS.Timeout;
-    private silence: NodeJS.Timeout | undefined;
-    private beginTimer: NodeJS.Timeout | undefined;
+    private readonly deadlineTimer: NodeJS.Timeout;
+    private silenceTimer: NodeJS.Timeout | undefined;
+    private startLimitTimer: NodeJS.Timeout | undefined;
     private status = 0;
     private headers: RawHeaders = [];
     private head: AnswerHead | undefined;
-    private held: Buffer[] = [];
-    private heldBytes = 0;
+    private bufferedChunks: Buffer[] = [];
+    private bufferedBytes = 0;
     private wasWritten = false;
-    private hasBegun = false;
-    private isUnframed = false;
+    private hasStarted = false;
+    private isCloseDelimited = false;
     private isPassing = false;
     private isDone = false;
 
     constructor(private readonly options: AttemptOptions) {
         this.end = new Promise(resolve => {
-            this.finishAttempt = resolve;
+            this.resolveEnd = resolve;
         });
         const { pool, send, upstreamId, address, caller, dialect } = options;
         this.connection = pool.claim(upstreamId, address, options.isFresh, options.readTime());
@@ -127,12 +127,12 @@
                 return this.wasWritten;
             },
         });
-        this.deadline = setTimeout(
-            () => this.finishBroken("timeout", "the request's time is over"),
+        this.deadlineTimer = setTimeout(
+            () => this.finishBroken("timeout", "the request's deadline has passed"),
             options.timeLeftMs,
         );
         this.startSilenceTimer(options.firstByteMs);
-        this.updateBeginTime();
+        this.updateStartLimit();
         caller.onLeft(() => this.finish({ kind: "callerLeft" }));
         if (caller.hasLeft) {
             this.finish({ kind: "callerLeft" });
@@ -142,18 +142,18 @@
     }
 
     /**
-     * Looks again at how long it may take to begin: its version may have been replaced since it was sent. A plain answer does
-     * not tell when it began, and may have been under way for long.
+     * Updates the time limit for the start of a stream, since its adapter version may have been replaced after the request was
+     * sent. Plain requests have no such limit: their responses don't show when the engine started to run them.
      */
-    updateBeginTime(): void {
-        const { route, readBeginMs } = this.options;
-        if (this.isDone || this.hasBegun || route.kind !== "stream") {
+    updateStartLimit(): void {
+        const { route, readStartLimitMs: readBeginMs } = this.options;
+        if (this.isDone || this.hasStarted || route.kind !== "stream") {
             return;
         }
-        clearTimeout(this.beginTimer);
-        const beginMs = readBeginMs();
-        if (beginMs !== Infinity) {
-            this.beginTimer = setTimeout(() => this.cancelUnbegun(), Math.max(0, beginMs));
+        clearTimeout(this.startLimitTimer);
+        const startLimitMs = readBeginMs();
+        if (startLimitMs !== Infinity) {
+            this.startLimitTimer = setTimeout(() => this.cancelUnstarted(), Math.max(0, startLimitMs));
         }
     }
 
@@ -162,11 +162,11 @@
         this.status = status;
         this.headers = headers;
         this.head = head;
-        this.isUnframed = !hasFrame(headers);
+        this.isCloseDelimited = !hasMessageFraming(headers);
         const { requestId, send: { upstreamName } } = this.options;
-        this.options.onWords(readWords(head, { requestId, upstreamName }));
+        this.options.onMetadata(readWords(head, { requestId, upstreamName }));
         if (head.requestId !== undefined && head.requestId !== this.options.requestId) {
-            this.finishBroken("wrongAnswer", `the answer belongs to request ${head.requestId}`);
+            this.finishBroken("wrongAnswer", `the response belongs to request ${head.requestId}`);
             return;
         }
         if (this.isStreaming()) {
@@ -188,9 +188,9 @@
             this.pass(chunk);
             return;
         }
-        this.held.push(chunk);
-        this.heldBytes += chunk.length;
-        if (this.heldBytes > maxHeldBytes && this.head?.isSigned === true && this.status < 500) {
+        this.bufferedChunks.push(chunk);
+        this.bufferedBytes += chunk.length;
+        if (this.bufferedBytes > maxBufferedBytes && this.head?.isSigned === true && this.status < 500) {
             this.startPassing();
         }
     }
@@ -206,7 +206,7 @@
                 kind: "notRun",
                 wasSent: true,
                 isMisdirected: head.isMisdirected,
-                detail: `answered ${this.status}`,
+                detail: `responded with status ${this.status}`,
             });
             return;
         }
@@ -215,7 +215,7 @@
             return;
         }
         if (!head.isSigned && this.status < 400) {
-            this.finishBroken("wrongAnswer", "the answer is not signed");
+            this.finishBroken("wrongAnswer", "the response is not signed");
             return;
         }
         this.finishPlain();
@@ -237,16 +237,16 @@
     private receiveStreamData(chunk: Buffer): void {
         const events = this.splitter.receive(chunk);
         if (this.splitter.isOverlong) {
-            this.finishBroken("wrongAnswer", "an event has no end");
+            this.finishBroken("wrongAnswer", "an event exceeds the maximum size");
             return;
         }
         if (events.length === 0) {
             return;
         }
         this.startSilenceTimer(this.options.pauseMs);
-        if (!this.hasBegun) {
-            this.hasBegun = true;
-            this.options.onBegin();
+        if (!this.hasStarted) {
+            this.hasStarted = true;
+            this.options.onStart();
         }
         this.passEvents(events);
     }
@@ -257,15 +257,15 @@
         if (fresh.length === 0) {
             return;
         }
-        if (!caller.hasHead) {
-            caller.startAnswer(this.status, dialect.listAnswerHeaders(this.headers), this.isUnframed);
+        if (!caller.hasResponseHead) {
+            caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), this.isCloseDelimited);
         }
         recordProgress(progress, fresh.length, this.options.readTime());
         progress.lastEventId = fresh.at(-1)!.id ?? progress.lastEventId;
         this.pass(Buffer.concat(fresh.map(event => event.bytes)));
     }
 
-    /** Whether the caller has an event already: a resumed stream must go on after the last one. */
+    /** Whether an event was already sent to the caller. A resumed stream must continue after the last event sent. */
     private isRepeated(event: StreamEvent): boolean {
         const last = Number(this.options.progress.lastEventId);
         return event.id !== undefined && Number.isFinite(last) && Number(event.id) <= last;
@@ -275,7 +275,7 @@
         const { caller } = this.options;
         if (!caller.pass(bytes)) {
             this.exchange.pause();
-            clearTimeout(this.silence);
+            clearTimeout(this.silenceTimer);
             caller.onDrain(() => {
                 this.startSilenceTimer(this.options.pauseMs);
                 this.exchange.resume();
@@ -286,60 +286,66 @@
     private startPassing(): void {
         const { caller, dialect } = this.options;
         this.isPassing = true;
-        this.options.onBegin();
-        caller.startAnswer(this.status, dialect.listAnswerHeaders(this.headers), this.isUnframed);
-        for (const chunk of this.held) {
+        this.options.onStart();
+        caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), this.isCloseDelimited);
+        for (const chunk of this.bufferedChunks) {
             this.pass(chunk);
         }
-        this.held = [];
+        this.bufferedChunks = [];
     }
 
     private finishStream(): void {
         const { caller } = this.options;
-        if (!this.splitter.isAtBoundary || !caller.hasHead) {
-            this.finishBroken("truncatedAnswer", "the stream ended within an event");
+        if (!this.splitter.isAtBoundary || !caller.hasResponseHead) {
+            this.finishBroken("truncatedAnswer", "the stream ended before its first event or within an event");
             return;
         }
-        if (this.isUnframed && !caller.hasNoFrame) {
-            this.finishBroken("truncatedAnswer", "the rest of a stream ended with its connection");
+        if (this.isCloseDelimited && !caller.isCloseDelimited) {
+            this.finishBroken(
+                "truncatedAnswer",
+                "a resumed stream ended without an end mark, by the close of its connection",
+            );
             return;
         }
-        caller.endAnswer();
+        caller.endResponse();
         this.finish({ kind: "complete", status: this.status });
     }
 
     private finishPlain(): void {
         const { caller, dialect } = this.options;
-        const body = Buffer.concat(this.held);
+        const body = Buffer.concat(this.bufferedChunks);
         if (this.status >= 500 && !this.isPassing) {
             this.finish({ kind: "failed", status: this.status, headers: this.headers, body });
             return;
         }
         if (this.isPassing) {
-            caller.endAnswer();
+            caller.endResponse();
         }
-        else if (this.isUnframed) {
-            caller.startAnswer(this.status, dialect.listAnswerHeaders(this.headers), true);
-            caller.endAnswer(body);
+        else if (this.isCloseDelimited) {
+            caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), true);
+            caller.endResponse(body);
         }
         else {
-            caller.startAnswer(this.status, createBodyHeaders(dialect.listAnswerHeaders(this.headers), body));
-            caller.endAnswer(body);
+            caller.startResponse(this.status, createBodyHeaders(dialect.listAnswerHeaders(this.headers), body));
+            caller.endResponse(body);
         }
         this.finish({ kind: "complete", status: this.status });
     }
 
     private startSilenceTimer(ms: number): void {
-        clearTimeout(this.silence);
+        clearTimeout(this.silenceTimer);
         if (!this.isDone) {
-            this.silence = setTimeout(() => this.finishBroken("upstreamSilent", `nothing for ${ms} ms`), ms);
+            this.silenceTimer = setTimeout(() => this.finishBroken("upstreamSilent", `no data for ${ms} ms`), ms);
         }
     }
 
-    /** What is not written yet is not going to be: that is checked in the step of the write. */
-    private cancelUnbegun(): void {
-        if (!this.hasBegun && this.wasWritten) {
-            this.finishBroken("versionReplaced", "not begun before its version was replaced for good");
+    /** Cancels an attempt that was written. An unwritten request is withheld by the check in the step of the write. */
+    private cancelUnstarted(): void {
+        if (!this.hasStarted && this.wasWritten) {
+            this.finishBroken(
+                "versionReplaced",
+                "the stream did not start before its replaced adapter version expired",
+            );
         }
     }
 
@@ -352,14 +358,14 @@
             return;
         }
         this.isDone = true;
-        clearTimeout(this.deadline);
-        clearTimeout(this.silence);
-        clearTimeout(this.beginTimer);
+        clearTimeout(this.deadlineTimer);
+        clearTimeout(this.silenceTimer);
+        clearTimeout(this.startLimitTimer);
         if (end.kind === "broken" || end.kind === "callerLeft") {
             this.exchange.cancel();
             this.connection.cancel();
         }
-        this.finishAttempt(end);
+        this.resolveEnd(end);
     }
 }
 
@@ -374,20 +380,20 @@
     progress.events += events;
 }
 
-/** Whether an answer says by itself where it ends. */
-function hasFrame(headers: RawHeaders): boolean {
+/** Whether the headers of a response define where its body ends. */
+function hasMessageFraming(headers: RawHeaders): boolean {
     return headers.some((name, index) =>
         index % 2 === 0 && (name.toLowerCase() === "content-length" || name.toLowerCase() === "transfer-encoding")
     );
 }
 
-/** Headers of an answer whose body is sent in one piece. */
+/** Returns the headers of a response with the length of its complete body. */
 export function createBodyHeaders(headers: readonly string[], body: Buffer): string[] {
-    const kept = [...headers];
-    for (let index = kept.length - 2; index >= 0; index -= 2) {
-        if (kept[index]!.toLowerCase() === "content-length") {
-            kept.splice(index, 2);
+    const remaining = [...headers];
+    for (let index = remaining.length - 2; index >= 0; index -= 2) {
+        if (remaining[index]!.toLowerCase() === "content-length") {
+            remaining.splice(index, 2);
         }
     }
-    return [...kept, "Content-Length", String(body.length)];
+    return [...remaining, "Content-Length", String(body.length)];
 }
--- a/packages/node/src/requests/budgets.ts
+++ b/packages/node/src/requests/budgets.ts
@@ -1,12 +1,12 @@
 import { RetryBudget, type RetryBudgetOptions } from "@radishreel/fleet";
 
-/** The retry budget of each service. */
+/** Holds one retry budget per service. */
 export class RetryBudgets {
     private readonly budgets = new Map<string, RetryBudget>();
 
     constructor(private readonly options: RetryBudgetOptions) {}
 
-    /** The budget of a service. */
+    /** Returns the budget of a service, which is created on first use. */
     read(service: string): RetryBudget {
         const budget = this.budgets.get(service) ?? new RetryBudget(this.options);
         this.budgets.set(service, budget);
--- a/packages/node/src/requests/caller.ts
+++ b/packages/node/src/requests/caller.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { RawHeaders } from "../ports.js";
 
-/** Why this program ends a request itself. Each is a label of the counters. */
+/** Why this program ends a request itself. Each reason is a metric label. */
 export type RefusalReason =
     | "noConfiguration"
     | "unknownRoute"
@@ -10,19 +10,19 @@
     | "noUpstream"
     | "upstreamsBusy"
     | "enginesFull"
-    /** All upstreams have asked this VM for rest, for longer than the request can wait. */
+    /** All upstreams have requested backoff from this VM for longer than the request can wait. */
     | "upstreamsRest"
     | "retryBudgetSpent"
     | "attemptsSpent"
-    /** Each upstream that ran it has ended. */
+    /** Each upstream process that ran the request has ended. */
     | "endsUpstreams"
-    /** No account of the configuration in force has its key. */
+    /** No client account of the current configuration has the caller's key. */
     | "unknownKey"
-    /** The configuration was last known to be the newest too long ago to tell whether its key still counts. */
+    /** The configuration was last confirmed as current too long ago to tell whether the caller's key is still valid. */
     | "configurationOld"
-    /** Its account is over its limit. */
+    /** The client account has exceeded its quota. */
     | "quotaSpent"
-    /** No coordinator could be asked what is left of its account's quota, or it cannot know. */
+    /** No coordinator of the client account's quota could be reached, or the coordinator does not know what is left. */
     | "quotaUnknown"
     | "timeout"
     | "connectionLost"
@@ -31,24 +31,24 @@
     | "wrongAnswer"
     | "truncatedAnswer";
 
-/** An answer of this program's own. */
+/** Response with which this program refuses a request. */
 export interface OwnAnswer {
     readonly status: number;
     readonly reason: RefusalReason;
-    /** Seconds after which asking again may help. */
+    /** Value of `Retry-After`, in seconds. */
     readonly retryAfterSeconds?: number;
-    /** What else the log says of it. */
+    /** Additional fields of the log line. */
     readonly detail?: object;
 }
 
-/** One request of a caller: its body, its answer, and whether the caller is still there. */
+/** Request of one caller: reads its body, writes the response, and reports when the caller disconnects. */
 export class CallerExchange {
-    /** Resolves when the caller leaves. */
+    /** Resolves when the caller disconnects before its response is complete. */
     readonly left: Promise<undefined>;
     private readonly leftListeners: (() => void)[] = [];
-    private isLeft = false;
-    private isUnframed = false;
-    /** Parts of an upstream's answer that were written to this caller, and their bytes. */
+    private hasCallerLeft = false;
+    private isBodyCloseDelimited = false;
+    /** Number and total bytes of the chunks of an upstream's response that were written to this caller. */
     partsPassed = 0;
     bytesPassed = 0;
 
@@ -77,27 +77,27 @@
         return this.request.headers.host ?? "";
     }
 
-    /** Whether the caller closed its connection before its answer was complete. */
+    /** Whether the caller disconnected before its response was complete. */
     get hasLeft(): boolean {
-        return this.isLeft;
+        return this.hasCallerLeft;
     }
 
-    /** Whether a part of an answer has been written. */
-    get hasHead(): boolean {
+    /** Whether the head of a response has been written. */
+    get hasResponseHead(): boolean {
         return this.response.headersSent;
     }
 
-    /** Whether the answer ends with its connection. */
-    get hasNoFrame(): boolean {
-        return this.isUnframed;
+    /** Whether the end of the response is marked only by the close of its connection. */
+    get isCloseDelimited(): boolean {
+        return this.isBodyCloseDelimited;
     }
 
-    /** Called once when the caller leaves. */
+    /** Registers a listener that is called once, when the caller disconnects. */
     onLeft(listener: () => void): void {
         this.leftListeners.push(listener);
     }
 
-    /** Reads the whole body; undefined if it is longer than allowed or the caller left. */
+    /** Reads the whole body; undefined if it is longer than allowed or the caller disconnected. */
     async readBody(maxBytes: number): Promise<Buffer | undefined> {
         const chunks: Buffer[] = [];
         let length = 0;
@@ -111,13 +111,13 @@
             }
         }
         catch {
-            // The caller broke off; its close is reported by itself.
+            // The caller disconnected; the close event of the response reports it.
             return undefined;
         }
         return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
     }
 
-    /** Makes this the last answer on its connection, also where its head has been written already. */
+    /** Closes the connection after this response, even if the head of the response has already been written. */
     closeAfterAnswer(): void {
         if (!this.response.headersSent) {
             this.response.shouldKeepAlive = false;
@@ -128,25 +128,25 @@
     }
 
     /**
-     * Writes the head of an upstream's answer.
-     * @param isUnframed Whether the answer has no length and ends with its connection. Nobody can tell a whole one from
-     * one that was cut short, so the caller gets it in the same form: this program must not vouch for its end.
+     * Writes the head of an upstream's response.
+     * @param isCloseDelimited Whether the response has no length and ends with its connection. A complete response of this
+     * kind looks the same as a truncated one, so it is passed on in the same form and its end is not confirmed.
      */
-    startAnswer(status: number, headers: readonly string[], isUnframed = false): void {
-        if (this.isLeft) {
+    startResponse(status: number, headers: readonly string[], isCloseDelimited = false): void {
+        if (this.hasCallerLeft) {
             return;
         }
-        if (isUnframed) {
+        if (isCloseDelimited) {
             this.response.shouldKeepAlive = false;
             this.response.removeHeader("Transfer-Encoding");
         }
-        this.isUnframed = isUnframed;
+        this.isBodyCloseDelimited = isCloseDelimited;
         this.response.writeHead(status, headers as string[]);
     }
 
-    /** Writes a part of an upstream's answer. @returns False if the caller reads too slowly for more. */
+    /** Writes a chunk of an upstream's response. @returns False if the caller has to read before more is written. */
     pass(bytes: Buffer): boolean {
-        if (this.isLeft) {
+        if (this.hasCallerLeft) {
             return true;
         }
         this.partsPassed += 1;
@@ -154,25 +154,25 @@
         return this.response.write(bytes);
     }
 
-    /** Calls back once the caller has read what was written. */
+    /** Calls a listener once the caller has read what was written. */
     onDrain(listener: () => void): void {
         this.response.once("drain", listener);
     }
 
-    /** Completes an upstream's answer. */
-    endAnswer(bytes?: Buffer): void {
+    /** Completes the response. */
+    endResponse(bytes?: Buffer): void {
         this.response.end(bytes);
     }
 
-    /** Breaks off an answer that has begun, so that it cannot look complete. */
-    cancelAnswer(): void {
+    /** Aborts a response that has started, so that it cannot look complete. */
+    cancelResponse(): void {
         this.response.destroy();
     }
 
-    /** Answers by itself; breaks the answer off if one has begun. */
+    /** Sends a refusal; aborts the response instead if one has started. */
     refuse(answer: OwnAnswer): void {
-        if (this.hasHead) {
-            this.cancelAnswer();
+        if (this.hasResponseHead) {
+            this.cancelResponse();
             return;
         }
         const text = JSON.stringify({ status: answer.status, reason: answer.reason });
@@ -181,18 +181,18 @@
             headers.push("Retry-After", answer.retryAfterSeconds.toFixed(2));
         }
         if (!this.request.complete) {
-            // The rest of the body is not read: the connection cannot carry another request.
+            // The rest of the body is not read, so the connection cannot carry another request.
             this.response.shouldKeepAlive = false;
         }
-        this.startAnswer(answer.status, headers);
-        this.endAnswer(Buffer.from(text));
+        this.startResponse(answer.status, headers);
+        this.endResponse(Buffer.from(text));
     }
 
     private receiveClose(): void {
-        if (this.response.writableFinished || this.isLeft) {
+        if (this.response.writableFinished || this.hasCallerLeft) {
             return;
         }
-        this.isLeft = true;
+        this.hasCallerLeft = true;
         for (const listener of this.leftListeners) {
             listener();
         }
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/choosing.ts
@@ -17,90 +17,90 @@
 import type { Job, Preparation, ReadyUpstream, TriedUpstream } from "./job.js";
 import { readLastSendAt } from "./patience.js";
 
-/** A request that waits for an upstream to come looks again at least this often, in milliseconds. */
-const lookAgainMs = 100;
+/** Interval at which a request without any available upstream chooses again, in milliseconds. */
+const recheckIntervalMs = 100;
 
-/** A request that waits at one engine looks this often whether another one would serve it sooner, in milliseconds. */
-const reviewMs = 300;
+/** Interval at which a request that waits at one engine checks whether another engine is sooner, in milliseconds. */
+const reviewIntervalMs = 300;
 
 /**
- * How much sooner another engine must be expected for a request to move there, in milliseconds: it gives up its turn, and
- * the other one loads an adapter that the first may be loading already.
+ * How much sooner another engine must be expected for a request to move there, in milliseconds. A move loses the request's
+ * turn, and the other engine loads an adapter that the first engine may already be loading.
  */
-const moveGainMs = 250;
+const minMoveGainMs = 250;
 
-/** Most moves of one request between engines: each may have begun a load for nothing. */
+/** Maximum moves of one request between engines. Each move may have started a load that nothing uses. */
 const maxMoves = 3;
 
 /**
- * Most times that one request chooses anew since the engine that it chose has more to do than this VM knew. Each costs a
- * message and its answer, some 3 ms.
+ * How often one request may choose again because its chosen engine was busier than this VM knew. Each time costs a message
+ * and its reply, about 3 ms.
  */
 const maxRedirects = 4;
 
-/** Rest of a wait that has lasted longer than expected, in milliseconds: about one load. */
-const overdueMs = 250;
+/** Assumed remainder of a wait that has lasted longer than expected, in milliseconds: about one load. */
+const overdueWaitMs = 250;
 
-/** How long an engine whose owner was lost is not asked again by the same request, in milliseconds: news arrive in it. */
-const lostPauseMs = 60;
+/** How long a request penalises an engine whose owner was lost, in milliseconds. Messages about a new owner arrive by then. */
+const lostOwnerPauseMs = 60;
 
-/** Cost of that engine meanwhile, in milliseconds: less than that of a load elsewhere. */
-const lostCostMs = 200;
+/** Penalty of an engine whose owner was lost, in milliseconds: less than the cost of a load elsewhere. */
+const lostOwnerPenaltyMs = 200;
 
-/** Shortest time between two questions of one request, in milliseconds: news of an owner that is gone arrive in it. */
-const minAskMs = 5;
+/** Minimum time between two admission requests of one request, in milliseconds, so that news of a lost owner can arrive. */
+const minAskIntervalMs = 5;
 
-/** How long an owner's word that it cannot serve a request holds, in milliseconds. */
-const declinedMs = 400;
+/** How long a request respects that an owner declined it, in milliseconds. */
+const declinedPauseMs = 400;
 
-/** How much longer a request may take with the newest version while an older one may still answer, in milliseconds. */
-const newestDelayMs = 300;
+/** Maximum extra delay for using the newest version while an older version may still be used, in milliseconds. */
+const maxNewestDelayMs = 300;
 
-/** How long a newer version is wanted on an engine that was chosen for it, in milliseconds: about as an older one may answer. */
-const preparationMs = 2500;
+/** Lifetime of a load request for a newer version, in milliseconds: about as long as an older version may still be used. */
+const preparationLifetimeMs = 2500;
 
-/** Time that an engine takes for one token of an answer while it reads others' prompts as well, in milliseconds. */
-const tokenMs = 10;
+/** Time that an engine takes to generate one token while it also reads prompts of other requests, in milliseconds. */
+const decodeMsPerToken = 10;
 
 /**
- * How long news of engines are gathered before requests that wait look again, in milliseconds: each compares all upstreams, and
- * dozens of owners tell news some times a second each, most at the start of all VMs. A load takes 250 ms and more.
+ * How long engine status messages are batched before waiting requests choose again, in milliseconds. Each choice compares all
+ * upstreams, and dozens of owners send several messages per second each, most when all VMs start. A load takes at least 250 ms.
  */
-const newsGatherMs = 20;
+const statusBatchMs = 20;
 
 /** Options of {@link UpstreamChooser}. */
 export interface UpstreamChooserOptions {
     readonly dataCentre: string;
     readonly view: FleetView;
     readonly admissions: Admissions;
-    readonly kept: KeptParts;
-    readonly longPrompts: PauseThreshold;
+    readonly prefixCache: KeptParts;
+    readonly longPromptThreshold: PauseThreshold;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** Time that goes on while the VM is suspended, in milliseconds. @default readTime */
+    /** Clock that keeps running while the VM is suspended, in milliseconds. @default readTime */
     readonly readBoot?: (() => number) | undefined;
-    /** Asked again during each wait: another VM may have learned that a request ends upstreams. @default always */
+    /** Whether a request may run; checked again during waits, since another VM may report it as suspect. @default always */
     readonly mayRun?: ((job: Job) => boolean) | undefined;
-    /** Whether messages reach a VM. */
+    /** Whether there is a link to a VM. */
     readonly isLinked: (vm: string) => boolean;
     readonly sendPreparation: (preparation: Preparation) => void;
-    /** All upstreams of a service were compared for one request. */
+    /** Called when all upstreams of a service are compared for one request. */
     readonly onChoice: () => void;
-    /** A request chooses anew, since its engine is busier than this VM knew. */
+    /** Called when a request chooses again because its engine is busier than this VM knew. */
     readonly onRedirect: () => void;
 }
 
-/** Finds the upstream for a request and waits until it can be sent there. */
+/** Chooses the upstream for a request and waits until the request can be sent there. */
 export class UpstreamChooser {
     private readonly waiters = new Set<() => void>();
     private readonly readBoot: () => number;
-    private gathering: NodeJS.Timeout | undefined;
+    private batchTimer: NodeJS.Timeout | undefined;
 
     constructor(private readonly options: UpstreamChooserOptions) {
         this.readBoot = options.readBoot ?? options.readTime;
     }
 
-    /** Lets requests that wait for an upstream to come look again. */
+    /** Makes waiting requests choose again immediately. */
     receiveChange(): void {
         const waiters = [...this.waiters];
         this.waiters.clear();
@@ -109,18 +109,18 @@
         }
     }
 
-    /** The same, for news of engines, which come many at a time. */
-    receiveNews(): void {
+    /** Makes waiting requests choose again soon. Engine status messages are batched, since many arrive at a time. */
+    receiveEngineStatus(): void {
         if (this.waiters.size === 0) {
             return;
         }
-        this.gathering ??= setTimeout(() => {
-            this.gathering = undefined;
+        this.batchTimer ??= setTimeout(() => {
+            this.batchTimer = undefined;
             this.receiveChange();
-        }, newsGatherMs);
+        }, statusBatchMs);
     }
 
-    /** Waits until an upstream can be sent the request; undefined if none can be in its time, as far as is known now. */
+    /** Waits until the request can be sent to an upstream; undefined if no upstream is expected in time. */
     async chooseReady(job: Job): Promise<ReadyUpstream | undefined> {
         const { readTime } = this.options;
         const startedAt = readTime();
@@ -133,17 +133,17 @@
                 return undefined;
             }
             if (choice === undefined) {
-                const restMs = (this.findRestEnd(job, now) ?? Infinity) - now;
-                await this.waitForChange(Math.min(lookAgainMs, restMs, readLastSendAt(job) - now));
+                const backoffMs = (this.findBackoffEnd(job, now) ?? Infinity) - now;
+                await this.waitForChange(Math.min(recheckIntervalMs, backoffMs, readLastSendAt(job) - now));
                 continue;
             }
             if (hasDeclined(job, choice, now)) {
                 return undefined;
             }
             const ready = await this.askOwner(job, choice, now);
-            if (ready === undefined && readTime() - now < minAskMs) {
-                // Owners that say no at once must not be asked in a loop that lets nothing else run.
-                await this.waitForChange(minAskMs);
+            if (ready === undefined && readTime() - now < minAskIntervalMs) {
+                // A loop over owners that reject immediately must not block the event loop.
+                await this.waitForChange(minAskIntervalMs);
             }
             job.waitedMs += readTime() - now;
             if (ready !== undefined) {
@@ -157,42 +157,44 @@
         return this.options.mayRun?.(job) ?? true;
     }
 
-    /** Whether the owner of an engine can be asked. */
+    /** Whether the owner of an engine is known, linked and believed to reply. */
     private canAsk(state: UpstreamState): boolean {
         const { owner } = state;
         return owner !== undefined && this.options.isLinked(owner) && this.options.admissions.isResponsive(owner);
     }
 
     /**
-     * Whether waiting may bring an upstream: engines are there, and their owners are expected back; or all upstreams rest,
-     * and the first of them will be there soon enough. A plain service without any server is refused at once.
+     * Whether an upstream may become available in time: there are engines whose owners are expected back, or all upstreams
+     * are backing off and the first backoff ends soon enough. A plain service without any server is refused immediately.
      */
     private mayWait(job: Job, now: number): boolean {
-        const half = job.startedAt + (job.deadlineAt - job.startedAt) / 2;
+        const halfTimeAt = job.startedAt + (job.deadlineAt - job.startedAt) / 2;
         const hasEngine = job.service.engine !== undefined
             && this.options.view.listAwake(job.service.name, now).length > 0;
-        const restEndAt = hasEngine ? undefined : this.findRestEnd(job, now);
-        return hasEngine ? now < half : restEndAt !== undefined && restEndAt < Math.min(half, readLastSendAt(job));
+        const backoffEndAt = hasEngine ? undefined : this.findBackoffEnd(job, now);
+        return hasEngine
+            ? now < halfTimeAt
+            : backoffEndAt !== undefined && backoffEndAt < Math.min(halfTimeAt, readLastSendAt(job));
     }
 
-    /** When the first of the upstreams that could serve a request will have rested; undefined if none of them rests. */
-    findRestEnd(job: Job, now: number): number | undefined {
+    /** Finds when the first backoff ends among the upstreams that could serve a request; undefined if none is backing off. */
+    findBackoffEnd(job: Job, now: number): number | undefined {
         const { view } = this.options;
         const ends = view.listUsable(job.service.name)
-            .filter(({ upstream }) => !isRuledOut(job.tried.get(upstream.id)))
+            .filter(({ upstream }) => !isExcluded(job.tried.get(upstream.id)))
             .map(({ upstream }) => view.rests.findEnd(upstream.id, now) ?? Infinity);
         const first = Math.min(...ends);
         return first === Infinity ? undefined : first;
     }
 
-    /** @param without An engine that is left out. */
-    private choose(job: Job, now: number, without?: string): UpstreamChoice | undefined {
-        const { view, dataCentre, longPrompts, kept } = this.options;
+    /** @param excludedEngine Id of an engine that must not be chosen. */
+    private choose(job: Job, now: number, excludedEngine?: string): UpstreamChoice | undefined {
+        const { view, dataCentre, longPromptThreshold: longPrompts, prefixCache: kept } = this.options;
         this.options.onChoice();
-        const inForce = [...job.tried].filter(([, { until }]) => until > now);
-        const penalties = new Map(inForce.map(([id, { costMs }]) => [id, costMs]));
-        if (without !== undefined) {
-            penalties.set(without, Infinity);
+        const active = [...job.tried].filter(([, { until }]) => until > now);
+        const penalties = new Map(active.map(([id, { costMs }]) => [id, costMs]));
+        if (excludedEngine !== undefined) {
+            penalties.set(excludedEngine, Infinity);
         }
         const base = { view, service: job.service, dataCentre, now, bootNow: this.readBoot(), penalties };
         const { model } = job.demand;
@@ -211,8 +213,8 @@
     }
 
     /**
-     * The engine with the newest version, if an older one was chosen and it can be sent there without much delay; otherwise
-     * has the newest loaded somewhere, so that it is there before the older one may no longer answer.
+     * Replaces the choice of an engine with an older version by one with the newest version, if that adds little delay.
+     * Otherwise has the newest version loaded, so that it is available before the older version expires.
      */
     private chooseNewest(job: Job, options: EngineChoiceOptions, choice: UpstreamChoice): UpstreamChoice {
         const key = findAdapterKey(options.demand);
@@ -222,18 +224,18 @@
         }
         this.options.onChoice();
         const next = chooseEngine({ ...options, needsNewest: true });
-        if (next?.isReady === true && next.rankMs < choice.rankMs + newestDelayMs) {
+        if (next?.isReady === true && next.rankMs < choice.rankMs + maxNewestDelayMs) {
             return next;
         }
         if (next?.isReady === false) {
             const { runMs, onTimeMs } = this.createDetails(job, options.demand, options.now);
-            const want = { key, version: newest!.version, runMs, onTimeMs, lifeMs: preparationMs };
+            const want = { key, version: newest!.version, runMs, onTimeMs, lifeMs: preparationLifetimeMs };
             this.options.sendPreparation({ engine: next.state.upstream.id, want });
         }
         return choice;
     }
 
-    /** Asks the owner of the chosen engine to let the request in, and waits for it; undefined to look again. */
+    /** Requests admission from the owner of the chosen engine and waits for it; undefined if the request must choose again. */
     private async askOwner(job: Job, choice: UpstreamChoice, now: number): Promise<ReadyUpstream | undefined> {
         const { model } = job.demand;
         const { state } = choice;
@@ -255,15 +257,15 @@
         this.recordAsked(job, choice, details);
         const admission = admissions.ask(state.owner!, engine, details);
         const outcome = await this.waitForOutcome(job, admission);
-        // Waits last seconds: what the choice was made by is asked again, as the owner may know less than this VM.
+        // Waits can last seconds, and the owner may know less than this VM, so the conditions of the choice are checked again.
         const { view } = this.options;
         const isUsable = view.isUsable(engine) && !view.rests.isResting(engine, this.options.readTime());
-        const isNew = outcome?.kind === "admitted"
+        const isVersionAllowed = outcome?.kind === "admitted"
             && (outcome.version ?? Infinity) >= (this.findOldestVersion(model) ?? 0);
-        if (isUsable && isNew) {
+        if (isUsable && isVersionAllowed) {
             return { choice: { ...choice, version: outcome.version }, admission };
         }
-        admission.end();
+        admission.finish();
         if (outcome !== undefined) {
             this.recordFailure(job, engine, outcome);
         }
@@ -284,8 +286,8 @@
     }
 
     /**
-     * Waits for an owner's word; undefined if the caller left, its time is over, another engine will be sooner, the engine
-     * leaves, or the request may not run any more.
+     * Waits for an owner's decision; undefined if the caller left, the latest send time has passed, another engine is sooner,
+     * the engine is leaving or backs off for longer, or the request may no longer run.
      */
     private async waitForOutcome(job: Job, admission: Admission): Promise<AdmissionOutcome | undefined> {
         const { readTime } = this.options;
@@ -294,27 +296,27 @@
             if (job.caller.hasLeft || leftMs <= 0 || !this.mayRun(job)) {
                 return undefined;
             }
-            const outcome = await this.waitAtMost(job, admission.outcome, Math.min(reviewMs, leftMs));
+            const outcome = await this.waitAtMost(job, admission.outcome, Math.min(reviewIntervalMs, leftMs));
             if (outcome !== undefined) {
                 return outcome;
             }
-            if (!this.options.view.isUsable(admission.engine) || this.isRestLonger(admission)) {
+            if (!this.options.view.isUsable(admission.engine) || this.isBackoffLonger(admission)) {
                 return undefined;
             }
-            if (job.moves < maxMoves && this.isSoonerElsewhere(job, admission)) {
+            if (job.moves < maxMoves && this.isOtherSooner(job, admission)) {
                 job.moves += 1;
                 return undefined;
             }
         }
     }
 
-    /** Whether an engine will still rest when its owner is expected to let a request in. */
-    private isRestLonger({ engine, expectedAt }: Admission): boolean {
-        const restEndAt = this.options.view.rests.findEnd(engine, this.options.readTime());
-        return restEndAt !== undefined && restEndAt > expectedAt;
+    /** Whether an engine will still be backing off when its owner expects to admit the request. */
+    private isBackoffLonger({ engine, expectedAt }: Admission): boolean {
+        const backoffEndAt = this.options.view.rests.findEnd(engine, this.options.readTime());
+        return backoffEndAt !== undefined && backoffEndAt > expectedAt;
     }
 
-    /** Waits for a value until the time is over or the caller leaves: it is undefined then. */
+    /** Waits for a value; undefined if the time passes or the caller leaves first. */
     private async waitAtMost<Value>(job: Job, value: Promise<Value>, ms: number): Promise<Value | undefined> {
         let timer: NodeJS.Timeout | undefined;
         const timeout = new Promise<undefined>(resolve => {
@@ -325,12 +327,12 @@
         return result;
     }
 
-    /** Whether another engine is expected to serve a request clearly sooner than the one at which it waits. */
-    private isSoonerElsewhere(job: Job, admission: Admission): boolean {
+    /** Whether another engine is expected to serve a request clearly sooner than the engine at which it waits. */
+    private isOtherSooner(job: Job, admission: Admission): boolean {
         const now = this.options.readTime();
         const other = this.choose(job, now, admission.engine);
-        const restMs = admission.expectedAt > now ? admission.expectedAt - now : overdueMs;
-        return other !== undefined && !hasDeclined(job, other, now) && other.costMs + moveGainMs < restMs;
+        const remainingWaitMs = admission.expectedAt > now ? admission.expectedAt - now : overdueWaitMs;
+        return other !== undefined && !hasDeclined(job, other, now) && other.costMs + minMoveGainMs < remainingWaitMs;
     }
 
     private recordFailure(job: Job, engine: string, outcome: AdmissionOutcome): void {
@@ -345,20 +347,20 @@
             return;
         }
         if (outcome.kind === "declined") {
-            job.tried.set(engine, { costMs: outcome.expectedMs, until: now + declinedMs, hasDeclined: true });
+            job.tried.set(engine, { costMs: outcome.expectedMs, until: now + declinedPauseMs, hasDeclined: true });
             job.expectedAt = Math.min(job.expectedAt ?? Infinity, now + outcome.expectedMs);
             return;
         }
-        job.tried.set(engine, { costMs: lostCostMs, until: now + lostPauseMs, hasDeclined: false });
+        job.tried.set(engine, { costMs: lostOwnerPenaltyMs, until: now + lostOwnerPauseMs, hasDeclined: false });
     }
 
-    /** Oldest version of its adapter that may answer a request now; undefined for any. */
+    /** Finds the oldest version of the request's adapter that may be used now; undefined if any may be used. */
     private findOldestVersion(model: ModelDemand): number | undefined {
         const key = findAdapterKey(model);
         return key === undefined ? undefined : this.options.view.versions.findOldest(key, this.readBoot());
     }
 
-    /** The version that a load brings; undefined if none was named. */
+    /** Finds the version that a load would bring; undefined if none was announced. */
     private findNewestVersion(model: ModelDemand): number | undefined {
         const key = findAdapterKey(model);
         return key === undefined ? undefined : this.options.view.versions.findNewest(key)?.version;
@@ -372,14 +374,14 @@
             prefillTokens: model.promptTokens,
             kvTokens: model.promptTokens + model.outputTokens,
             hasLongAnswer: hasLongAnswer(model),
-            runMs: readMs + model.outputTokens * tokenMs,
+            runMs: readMs + model.outputTokens * decodeMsPerToken,
             onTimeMs: job.startedAt + job.route.aimMs - now - readMs,
             patienceMs: Math.max(0, readLastSendAt(job) - now),
             endMs: Math.max(0, job.deadlineAt - now),
         };
     }
 
-    /** Waits until something has changed that a request may wait for, or the time is over. */
+    /** Waits until a change that may affect waiting requests, or until the time has passed. */
     async waitForChange(ms: number): Promise<void> {
         await new Promise<void>(resolve => {
             const wake = (): void => {
@@ -393,12 +395,12 @@
     }
 }
 
-/** Whether a request goes to an upstream no more, whatever comes. */
-function isRuledOut(tried: TriedUpstream | undefined): boolean {
+/** Whether an upstream is permanently excluded for a request. */
+function isExcluded(tried: TriedUpstream | undefined): boolean {
     return tried !== undefined && tried.costMs === Infinity && tried.until === Infinity;
 }
 
-/** Whether the best engine for a request has just said that it cannot serve it: then no other one can. */
+/** Whether the best engine for a request recently declined it. No other engine can serve the request then. */
 function hasDeclined(job: Job, choice: UpstreamChoice, now: number): boolean {
     const tried = job.tried.get(choice.state.upstream.id);
     return tried !== undefined && tried.hasDeclined && tried.until > now;
--- a/packages/node/src/requests/connections.ts
+++ b/packages/node/src/requests/connections.ts
@@ -3,30 +3,30 @@
 import { connect } from "node:net";
 import { Client, errors } from "undici";
 
-/** Longest wait for a connection, in milliseconds: a path within a region takes some milliseconds. */
-const requestConnectMs = 400;
+/** Maximum wait for a connection, in milliseconds. Connecting within a region takes some milliseconds. */
+const defaultConnectTimeoutMs = 400;
 
-/** An idle connection is kept this long if the upstream does not say, in milliseconds. */
+/** Idle timeout of a connection if the upstream announces none, in milliseconds. */
 const keepAliveMs = 4000;
 
-/** How long before the upstream's own idle timeout a connection is given up, in milliseconds. */
+/** How long before the upstream's own idle timeout a connection is closed, in milliseconds. */
 const keepAliveMarginMs = 600;
 
-/** A connection is used again only after resting this long, in milliseconds: a second answer to the last request shows. */
-const restMs = 40;
+/** Minimum idle time before a connection is reused, in milliseconds, so that a second response to the last request shows up. */
+const reuseDelayMs = 40;
 
-/** Most idle connections kept to one upstream. */
+/** Maximum number of idle connections to one upstream. */
 const maxIdle = 8;
 
-/** One connection to an upstream. It carries one request at a time. */
+/** One connection to an upstream, which carries one request at a time. */
 export class UpstreamConnection {
     readonly client: Client;
     private socket: Socket | undefined;
     private hasFailed = false;
-    private restingSince = 0;
+    private lastUsedAt = 0;
 
-    /** @param connectTimeoutMs Longest wait until it is open, in milliseconds. */
-    constructor(address: string, private readonly connectTimeoutMs = requestConnectMs) {
+    /** @param connectTimeoutMs Maximum wait until the connection is open, in milliseconds. */
+    constructor(address: string, private readonly connectTimeoutMs = defaultConnectTimeoutMs) {
         const { host, port } = parseAddress(address);
         this.client = new Client(`http://${address}`, {
             pipelining: 1,
@@ -42,7 +42,7 @@
         });
     }
 
-    /** Whether the connection was reset: an answer that only ends with its connection is then not whole. */
+    /** Whether the connection was reset. A close-delimited response is incomplete in that case. */
     get wasReset(): boolean {
         return this.socket?.errored !== null && this.socket?.errored !== undefined;
     }
@@ -51,18 +51,19 @@
         return !this.hasFailed && !this.client.closed && !this.client.destroyed;
     }
 
-    /** Marks the end of a request. */
-    finishUse(now: number): void {
-        this.restingSince = now;
+    /** Records that a request on this connection has finished. */
+    recordUse(now: number): void {
+        this.lastUsedAt = now;
     }
 
-    isRested(now: number): boolean {
-        return now - this.restingSince >= restMs;
+    isReusable(now: number): boolean {
+        return now - this.lastUsedAt >= reuseDelayMs;
     }
 
     /**
-     * Breaks off what is under way. A reset takes back bytes that a cut path holds up; with a mere close they arrive when
-     * it heals: orders came 3 s after they were given up, below their giver's own newer token.
+     * Resets the connection. A reset discards bytes that a broken network path delays. After a mere close they arrive when
+     * the path recovers: an order can then arrive 3 s after its sender gave it up, with an older fencing token than the
+     * sender's current one.
      */
     cancel(): void {
         if (this.socket !== undefined && !this.socket.connecting && !this.socket.destroyed) {
@@ -71,17 +72,17 @@
         this.close();
     }
 
-    /** Closes it at once. */
+    /** Closes the connection immediately. */
     close(): void {
         this.hasFailed = true;
         this.client.destroy().catch(() => {
-            // The client is gone either way.
+            // The client is destroyed either way.
         });
     }
 
     private openSocket(host: string, port: number, callback: (...args: [Error, null] | [null, Socket]) => void): void {
         if (this.socket !== undefined) {
-            // One connection carries what was decided for it; it is never opened anew behind a request's back.
+            // A request was checked for this connection only; undici must not reconnect on its own.
             callback(new Error("connection closed"), null);
             return;
         }
@@ -104,7 +105,7 @@
     }
 }
 
-/** Connections to all upstreams, by upstream id: a new incarnation at an old address gets new connections. */
+/** Idle connections by upstream id. A new incarnation at an old address gets new connections. */
 export class ConnectionPool {
     private readonly idle = new Map<string, UpstreamConnection[]>();
 
@@ -112,13 +113,13 @@
     constructor(private readonly onOpen: () => void = () => {}) {}
 
     /**
-     * Takes a connection for one request.
-     * @param isFresh Whether it must be a new one, since a request must not meet a connection that is just being closed.
+     * Takes a connection out of the pool or opens a new one.
+     * @param isFresh Whether to open a new connection, for requests that must not hit a connection that is being closed.
      */
     claim(upstreamId: string, address: string, isFresh: boolean, now: number): UpstreamConnection {
         const connections = (this.idle.get(upstreamId) ?? []).filter(connection => connection.isUsable);
         this.idle.set(upstreamId, connections);
-        const index = isFresh ? -1 : connections.findIndex(connection => connection.isRested(now));
+        const index = isFresh ? -1 : connections.findIndex(connection => connection.isReusable(now));
         const [found] = index < 0 ? [] : connections.splice(index, 1);
         if (found !== undefined) {
             return found;
@@ -127,12 +128,12 @@
         return new UpstreamConnection(address);
     }
 
-    /** Gives a connection back after a whole answer. */
+    /** Returns a connection to the pool after a complete response. */
     release(upstreamId: string, connection: UpstreamConnection, now: number): void {
         if (!connection.isUsable) {
             return;
         }
-        connection.finishUse(now);
+        connection.recordUse(now);
         const connections = this.idle.get(upstreamId) ?? [];
         connections.push(connection);
         this.idle.set(upstreamId, connections);
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Closes the idle connections of an upstream that is gone. */
+    /** Closes the idle connections of an upstream that was removed. */
     removeUpstream(upstreamId: string): void {
         for (const connection of this.idle.get(upstreamId) ?? []) {
             connection.close();
--- a/packages/node/src/requests/digest.ts
+++ b/packages/node/src/requests/digest.ts
@@ -1,40 +1,40 @@
 import { createHash } from "node:crypto";
 
-/** Lengths of both parts of a digest, in hexadecimal digits: 64 and 128 bits. */
+/** Lengths of the two parts of a digest, in hexadecimal digits: 64 and 128 bits. */
 const headDigits = 16;
 const bodyDigits = 32;
 
-/** What tells one request from others, however often and at whatever VM it comes. */
+/** The parts of a request that its digest covers. Repeats of a request have the same digest at every VM. */
 export interface RequestContent {
     readonly method: string;
     readonly host: string;
     readonly path: string;
-    /** Name of the caller's account, or its key where there are no accounts; undefined if it has neither. */
+    /** Name of the client account, or the caller's key where there are no accounts; undefined if the caller has neither. */
     readonly account: string | undefined;
     readonly body: Buffer | undefined;
 }
 
 /**
- * Names a request by what it holds. Neither part can be turned back into the request. Each is worked out when it is first
- * asked for: a body of 4 MB takes some milliseconds.
+ * Identifies a request by a one-way hash of its content. Each part is computed on first use, since hashing a body of 4 MB
+ * takes some milliseconds.
  */
 export class RequestDigest {
-    private headText: string | undefined;
-    private fullText: string | undefined;
+    private headDigest: string | undefined;
+    private fullDigest: string | undefined;
 
     constructor(private readonly content: RequestContent) {}
 
-    /** Digest of all but the body. */
+    /** Digest of everything except the body. */
     get head(): string {
         const { method, host, path, account } = this.content;
-        this.headText ??= formatDigest(JSON.stringify([method, host.toLowerCase(), path, account]), headDigits);
-        return this.headText;
+        this.headDigest ??= formatDigest(JSON.stringify([method, host.toLowerCase(), path, account]), headDigits);
+        return this.headDigest;
     }
 
-    /** Digest of the whole request: its head's, and its body's. */
+    /** Digest of the whole request: the head digest and the body digest, joined by a dot. */
     get full(): string {
-        this.fullText ??= `${this.head}.${formatDigest(this.content.body ?? "", bodyDigits)}`;
-        return this.fullText;
+        this.fullDigest ??= `${this.head}.${formatDigest(this.content.body ?? "", bodyDigits)}`;
+        return this.fullDigest;
     }
 }
 
--- a/packages/node/src/requests/events.ts
+++ b/packages/node/src/requests/events.ts
@@ -1,35 +1,35 @@
-/** Most bytes of one event: a stream that sends more without an end of event is broken off. */
+/** Maximum size of one event, in bytes. An attempt fails if its stream sends more without ending the event. */
 const maxEventBytes = 1024 * 1024;
 
-/** One whole event of a stream. */
+/** One complete event of a stream. */
 export interface StreamEvent {
-    /** Its bytes, the empty line at its end included. */
+    /** Bytes of the event, including the empty line at its end. */
     readonly bytes: Buffer;
-    /** Its id; undefined if it has none. */
+    /** Value of the event's `id` field; undefined if it has none. */
     readonly id: string | undefined;
 }
 
 const lineFeed = 10;
 
 /**
- * Cuts a stream of server-sent events into whole events. Bytes after the last whole event are held back, so that an
+ * Splits a stream of server-sent events into complete events. Bytes after the last complete event are buffered, so that an
  * event that an upstream did not finish never reaches a caller.
  */
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private pendingBytes: Buffer = Buffer.alloc(0);
 
-    /** Whether the bytes so far end with a whole event. */
+    /** Whether the bytes received so far end with a complete event. */
     get isAtBoundary(): boolean {
-        return this.rest.length === 0;
+        return this.pendingBytes.length === 0;
     }
 
-    /** Whether an event is longer than any real one. */
+    /** Whether the unfinished event exceeds the maximum size. */
     get isOverlong(): boolean {
-        return this.rest.length > maxEventBytes;
+        return this.pendingBytes.length > maxEventBytes;
     }
 
     receive(chunk: Buffer): StreamEvent[] {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+        const bytes = this.pendingBytes.length === 0 ? chunk : Buffer.concat([this.pendingBytes, chunk]);
         const events: StreamEvent[] = [];
         let start = 0;
         for (let end = findEventEnd(bytes, start); end >= 0; end = findEventEnd(bytes, start)) {
@@ -37,17 +37,17 @@
             events.push({ bytes: event, id: parseEventId(event) });
             start = end;
         }
-        this.rest = bytes.subarray(start);
+        this.pendingBytes = bytes.subarray(start);
         return events;
     }
 }
 
-/** Position after the empty line that ends the event at `start`; -1 if it is not there yet. */
+/** Finds the position after the empty line that ends the event at `start`; -1 if the empty line has not arrived yet. */
 function findEventEnd(bytes: Buffer, start: number): number {
     let lineStart = start;
     for (let feed = bytes.indexOf(lineFeed, start); feed >= 0; feed = bytes.indexOf(lineFeed, feed + 1)) {
-        const isEmpty = feed === lineStart || (feed === lineStart + 1 && bytes[lineStart] === 13);
-        if (isEmpty && lineStart > start) {
+        const isEmptyLine = feed === lineStart || (feed === lineStart + 1 && bytes[lineStart] === 13);
+        if (isEmptyLine && lineStart > start) {
             return feed + 1;
         }
         lineStart = feed + 1;
--- a/packages/node/src/requests/exchange.ts
+++ b/packages/node/src/requests/exchange.ts
@@ -2,28 +2,29 @@
 import type { RawHeaders } from "../ports.js";
 import type { UpstreamConnection } from "./connections.js";
 
-/** Why an exchange broke that was not to be sent any more when its connection was open. */
-export const withheldDetail = "no longer to be sent";
+/** Detail of an exchange that was withdrawn after its connection had opened and before the request was written. */
+export const withdrawnDetail = "withdrawn before it was sent";
 
-/** How far an exchange had come when it broke. */
+/** How far an exchange had progressed when it failed. */
 export type ExchangePhase =
-    /** No byte of the request has been written: it has not run. */
+    /** No byte of the request has been written, so the request has not run. */
     | "connecting"
-    /** Bytes may have been written, nothing of an answer has come. */
+    /** Bytes may have been written; no part of a response has arrived. */
     | "waiting"
-    /** The head of the answer has come. */
+    /** The head of the response has arrived. */
     | "answering";
 
-/** Takes what an upstream sends. Exactly one of `receiveEnd` and `receiveBreak` ends it. */
+/** Receives the response of an upstream. Exactly one of `receiveEnd` and `receiveBreak` is called at the end. */
 export interface ExchangeReceiver {
     receiveHead(status: number, headers: RawHeaders): void;
     receiveData(chunk: Buffer): void;
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     receiveEnd(): void;
+    /** Called when the exchange has failed. */
     receiveBreak(phase: ExchangePhase, detail: string): void;
 }
 
-/** One request on one connection. */
+/** Options of {@link Exchange}. */
 export interface ExchangeOptions {
     readonly connection: UpstreamConnection;
     readonly method: string;
@@ -31,11 +32,11 @@
     readonly headers: string[];
     readonly body: Buffer | undefined;
     readonly receiver: ExchangeReceiver;
-    /** Asked in the same step as the write; if it says no, nothing is written. */
+    /** Called in the same step as the write; if it returns false, nothing is written. */
     readonly checkBeforeSend?: () => boolean;
 }
 
-/** A request under way. */
+/** One request on one connection. */
 export class Exchange implements Dispatcher.DispatchHandler {
     private phase: ExchangePhase = "connecting";
     private hasEnded = false;
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Stops it: the upstream sees its connection close. The receiver hears nothing more. */
+    /** Cancels the exchange and resets its connection. The receiver is not called again. */
     cancel(): void {
         if (this.hasEnded) {
             return;
@@ -73,7 +74,7 @@
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.controller = controller;
         if (this.hasEnded || this.options.checkBeforeSend?.() === false) {
-            controller.abort(new Error(withheldDetail));
+            controller.abort(new Error(withdrawnDetail));
             return;
         }
         this.phase = "waiting";
@@ -98,7 +99,7 @@
             return;
         }
         if (this.options.connection.wasReset) {
-            this.finishBroken("connection reset before the end of the answer");
+            this.finishBroken("connection reset before the end of the response");
             return;
         }
         this.hasEnded = true;
@@ -119,7 +120,7 @@
     }
 }
 
-/** Names and values in turn, as they stood in the answer. */
+/** Returns header names and values alternately, as the response contains them. */
 function decodeRawHeaders(controller: Dispatcher.DispatchController): string[] {
     const raw = (controller as { rawHeaders?: readonly (Buffer | string)[] | null; }).rawHeaders ?? [];
     return raw.map(part => typeof part === "string" ? part : part.toString("latin1"));
--- a/packages/node/src/requests/job.ts
+++ b/packages/node/src/requests/job.ts
@@ -8,7 +8,7 @@
 import type { CallerExchange } from "./caller.js";
 import type { RequestDigest } from "./digest.js";
 
-/** One request while it is being served. */
+/** State of a request while it is being served. */
 export interface Job {
     readonly caller: CallerExchange;
     readonly demand: CallerDemand;
@@ -16,48 +16,50 @@
     readonly service: Service;
     readonly body: Buffer | undefined;
     readonly digest: RequestDigest;
-    /** Undefined on a public route, and where there are no accounts. */
+    /** Client account; undefined on a public route and where there are no accounts. */
     readonly account: Account | undefined;
-    /** What was granted to it of its account's quota; undefined if there is no limit. */
+    /** Quota that was granted to the request from its account; undefined if the account has no limit. */
     readonly claim: QuotaClaim | undefined;
     readonly startedAt: number;
     readonly deadlineAt: number;
-    /** Upstreams that were tried, with the cost that this adds to them and the time until which it does. */
+    /** Upstreams that the request has tried, by upstream id, with the cost penalties that apply to them. */
     readonly tried: Map<string, TriedUpstream>;
     readonly progress: StreamProgress;
-    /** Upstreams that may have run it, and failed. */
+    /** Number of failed attempts in which an upstream may have run the request. */
     runs: number;
-    /** Whether any upstream may have run it. */
+    /** Whether any upstream may have run the request. */
     hasRun: boolean;
     rejections: number;
     attempts: number;
     waitedMs: number;
-    /** How often it left an engine's queue for another one's. */
+    /** How often the request moved from one engine's queue to another engine's. */
     moves: number;
-    /** How often it chose anew since an engine had more to do than expected. */
+    /** How often the request chose again because an engine was busier than expected. */
     redirects: number;
-    /** When an engine that declined it could have let it in, as that one expects; undefined while none has. */
+    /** Earliest time at which an engine that declined the request expects to have room; undefined while none has declined. */
     expectedAt: number | undefined;
-    /** Set while it may run although upstreams have ended under it. */
+    /** Permit under which a suspect request may run, although upstreams have ended while they ran it. */
     permit: Permit | undefined;
 }
 
-/** An upstream that a request has tried. */
+/** Penalty on an upstream that a request has tried. */
 export interface TriedUpstream {
+    /** Cost that is added to the upstream, in milliseconds. */
     readonly costMs: number;
+    /** When the penalty ends. */
     readonly until: number;
-    /** Whether its owner said that it cannot serve the request while its caller waits. */
+    /** Whether the upstream's owner replied that it cannot serve the request within the caller's time limit. */
     readonly hasDeclined: boolean;
 }
 
-/** An upstream that can be sent a request now. */
+/** An upstream that a request can be sent to now. */
 export interface ReadyUpstream {
     readonly choice: UpstreamChoice;
-    /** Set for engines: the request's place there. */
+    /** The request's admission at the engine; undefined for servers of plain services. */
     readonly admission: Admission | undefined;
 }
 
-/** What a new job starts from. */
+/** Properties that are known when a job is created. */
 export type JobStart =
     & Pick<
         Job,
@@ -90,7 +92,7 @@
     };
 }
 
-/** Asks for a newer version of an adapter to be loaded, for nobody in particular. */
+/** Asks an engine's owner to load a newer version of an adapter without a request that waits for it. */
 export interface Preparation {
     readonly engine: string;
     readonly want: AdapterWant & { readonly version: number; readonly lifeMs: number; };
--- a/packages/node/src/requests/patience.ts
+++ b/packages/node/src/requests/patience.ts
@@ -3,24 +3,24 @@
 import type { CallerDemand } from "../ports.js";
 import type { StreamProgress } from "./attempt.js";
 
-/** Time that a request must have left to be worth another attempt, in milliseconds. */
+/** Minimum time that must be left before a request's deadline for another attempt, in milliseconds. */
 export const minAttemptMs = 60;
 
 /**
- * How long callers wait for the next event of a stream, its first one included, before they leave, by the users' pages:
- * the longest of 2 s, four times the route's aim and eight times its longest pause.
+ * Callers wait for the next event of a stream, including the first one, before they disconnect, for the longest of 2 s, four
+ * times the route's latency target and eight times its target for pauses. The minimum is in milliseconds.
  */
-const minPatienceMs = 2000;
-const aimsOfPatience = 4;
-const pausesOfPatience = 8;
+const minCallerLimitMs = 2000;
+const latencyTargetFactor = 4;
+const pauseTargetFactor = 8;
 
 /**
- * How long before that a request without an upstream is refused, in milliseconds: its answer must reach the caller, who
- * can then ask again instead of leaving.
+ * How long before the caller's time limit a request without an upstream is refused, in milliseconds. The refusal must reach
+ * the caller in time for the caller to retry instead of disconnecting.
  */
-const refuseAheadMs = 150;
+const refusalMarginMs = 150;
 
-/** What decides how long a request may wait for an upstream. */
+/** The properties of a request that determine how long it may wait for an upstream. */
 export interface WaitingRequest {
     readonly route: Route;
     readonly demand: CallerDemand;
@@ -30,9 +30,9 @@
 }
 
 /**
- * When a request must have been sent at the latest for its caller to be there still when the answer begins. One that is
- * held longer only keeps its caller from asking elsewhere: under heavy load callers left streams after 4 s, of which the
- * requests still had up to 11 s.
+ * Returns the latest time at which a request can be sent so that its response starts before the caller disconnects. Holding
+ * a request longer only keeps its caller from retrying elsewhere: under heavy load, callers leave streams after 4 s while
+ * the requests still have up to 11 s until their deadlines.
  */
 export function readLastSendAt(request: WaitingRequest): number {
     const { route, demand, startedAt, deadlineAt, progress } = request;
@@ -40,12 +40,12 @@
     if (route.kind !== "stream") {
         return lastAttemptAt;
     }
-    const patienceMs = Math.max(
-        minPatienceMs,
-        route.aimMs * aimsOfPatience,
-        (route.gapAimMs ?? 0) * pausesOfPatience,
+    const callerLimitMs = Math.max(
+        minCallerLimitMs,
+        route.aimMs * latencyTargetFactor,
+        (route.gapAimMs ?? 0) * pauseTargetFactor,
     );
     const readMs = (demand.model?.promptTokens ?? 0) / prefillTokensPerMs;
-    const heardAt = progress.events === 0 ? startedAt : progress.lastEventAt;
-    return Math.min(lastAttemptAt, heardAt + patienceMs - readMs - refuseAheadMs);
+    const lastReceivedAt = progress.events === 0 ? startedAt : progress.lastEventAt;
+    return Math.min(lastAttemptAt, lastReceivedAt + callerLimitMs - readMs - refusalMarginMs);
 }
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -21,58 +21,58 @@
 import { UpstreamChooser } from "./choosing.js";
 import type { ConnectionPool } from "./connections.js";
 import { RequestDigest } from "./digest.js";
-import { withheldDetail } from "./exchange.js";
+import { withdrawnDetail } from "./exchange.js";
 import { createJob, type Job, type Preparation, type ReadyUpstream } from "./job.js";
 import { minAttemptMs, readLastSendAt } from "./patience.js";
-import { noWords, type UpstreamWords } from "./words.js";
+import { emptyMetadata, type UpstreamWords } from "./words.js";
 
-/** Upstreams that may turn one request away before it is refused: each has said that it did not run it. */
+/** Maximum rejections of one request by upstreams before it is refused. Each rejection confirms that it did not run. */
 const maxRejections = 6;
 
-/** How soon a refused caller may come back, in seconds: an owner or an upstream is replaced within some seconds. */
+/** Default `Retry-After` of a refusal, in seconds. An owner or an upstream is replaced within some seconds. */
 const retryAfterSeconds = 0.5;
 
 /**
- * Longest time for which requests wait for a process that has just started to read routes and upstreams, in milliseconds. It
- * takes some 100 ms, less than the time after which refused callers would come back.
+ * Maximum wait of requests until a newly started process has read routes and upstreams, in milliseconds. Reading takes about
+ * 100 ms, less than the time after which refused callers would retry.
  */
-const usualStartWaitMs = 300;
+const defaultStartWaitMs = 300;
 
 /**
- * Shortest and longest time after which a caller is told to come back to engines that are full, in seconds. Half of the
- * time that its request would wait now has then passed, so that it would wait no longer than callers do.
+ * Bounds of `Retry-After` when all engines are full, in seconds. The caller retries after half of the time that its request
+ * would have to wait now, so that the retry waits no longer than callers do.
  */
 const minFullRetrySeconds = 0.25;
 const maxFullRetrySeconds = 2;
 
 /**
- * Longest time after which a caller is told to come back where all upstreams rest, in seconds: another VM may reach them, and
- * they are replaced or joined by others meanwhile.
+ * Maximum `Retry-After` when all upstreams are backing off, in seconds. Meanwhile another VM may reach them, and upstreams
+ * may be replaced or added.
  */
-const maxRestRetrySeconds = 30;
+const maxBackoffRetrySeconds = 30;
 
 /**
- * Cost added to an upstream that answered this request with a failure, in milliseconds. Failures often belong to one run:
- * an engine that holds the adapter is worth another try before a load of 250 ms elsewhere.
+ * Penalty of an upstream whose response to this request was a failure, in milliseconds. Failures often affect one run only,
+ * so an engine that holds the adapter is tried again before a load of 250 ms elsewhere.
  */
-const failedCostMs = 150;
+const failurePenaltyMs = 150;
 
-/** How long an upstream that turned a request away is not asked again for it, in milliseconds: its owner's word arrives. */
+/** How long a request avoids an upstream that rejected it, in milliseconds. The owner's message about it arrives by then. */
 const rejectedPauseMs = 60;
 
 /**
- * How long an upstream may take for its first byte before an idempotent request goes elsewhere: a factor of the expected
- * time, and at least so many milliseconds. Engines under heavy load often take 0.9 s, and what they have read of a prompt
- * is lost with the attempt; servers answer in 0.1 s.
+ * Maximum wait for the first byte before an idempotent request is retried elsewhere: a factor of the expected time, with a
+ * minimum in milliseconds for servers and for engines. Engines under heavy load often take 0.9 s, and the part of a prompt
+ * that they have read is lost with the attempt; servers respond within 0.1 s.
  */
 const firstByteFactor = 4;
 const minFirstByteMs = 700;
 const minFirstEventMs = 1500;
 
-/** Part of the time left after which going elsewhere cannot help any more. */
-const lastTryShare = 0.6;
+/** Share of the remaining time after which a retry elsewhere can no longer help. */
+const lastRetryShare = 0.6;
 
-/** Pause after which a stream that may be resumed goes elsewhere, as a factor of the pause that is still on time. */
+/** Pause after which a resumable stream is retried elsewhere, as a factor of the route's target for pauses. */
 const pauseFactor = 1.5;
 
 /** Options of {@link Serving}. */
@@ -86,34 +86,34 @@
     readonly pool: ConnectionPool;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** Time that goes on while the VM is suspended, in milliseconds. @default readTime */
+    /** Clock that keeps running while the VM is suspended, in milliseconds. @default readTime */
     readonly readBoot?: (() => number) | undefined;
     readonly admissions: Admissions;
     readonly guard: CrashGuard;
     readonly accounts: AccountGuard;
-    /** Whether messages reach a VM. */
+    /** Whether there is a link to a VM. */
     readonly isLinked: (vm: string) => boolean;
     readonly sendPreparation: (preparation: Preparation) => void;
     readonly sendMissing: (engine: string, key: string) => void;
-    /** An answer of an upstream says that it leaves. */
+    /** Called when a response announces that its upstream is leaving. */
     readonly onLeaving: (upstream: string) => void;
-    /** An upstream wants nothing from this VM for some time. */
+    /** Called when an upstream requests backoff from this VM. */
     readonly onRest: () => void;
     readonly onRefusal: (reason: RefusalReason) => void;
     readonly onRetry: (reason: string) => void;
-    /** All upstreams of a service were compared for one request. */
+    /** Called when all upstreams of a service are compared for one request. */
     readonly onChoice: () => void;
-    /** A request chooses anew, since its engine is busier than this VM knew. */
+    /** Called when a request chooses again because its engine is busier than this VM knew. */
     readonly onRedirect: () => void;
-    /** Longest wait for a process that has just started, in milliseconds. @default 300 */
+    /** Maximum wait of requests for a process that has just started, in milliseconds. @default 300 */
     readonly startWaitMs?: number | undefined;
 }
 
-/** Serves callers' requests: finds the route, chooses upstreams, and repeats what may be repeated. */
+/** Serves callers' requests: finds the route, chooses upstreams, and retries requests where that is allowed. */
 export class Serving {
-    private readonly kept = new KeptParts();
-    private readonly longPrompts = new PauseThreshold();
-    private readonly open = new Set<CallerExchange>();
+    private readonly prefixCache = new KeptParts();
+    private readonly longPromptThreshold = new PauseThreshold();
+    private readonly openExchanges = new Set<CallerExchange>();
     private readonly attempts = new Set<Attempt>();
     private readonly chooser: UpstreamChooser;
     private readonly readBoot: () => number;
@@ -122,52 +122,52 @@
         this.readBoot = options.readBoot ?? options.readTime;
         this.chooser = new UpstreamChooser({
             ...options,
-            kept: this.kept,
-            longPrompts: this.longPrompts,
+            prefixCache: this.prefixCache,
+            longPromptThreshold: this.longPromptThreshold,
             mayRun: job => this.mayRun(job),
         });
     }
 
-    /** Requests that have no whole answer yet. */
+    /** Number of requests without a complete response. */
     get openCount(): number {
-        return this.open.size;
+        return this.openExchanges.size;
     }
 
-    /** Lets no connection that carries a request now carry another one after it. */
+    /** Closes each connection that carries a request now after the response to that request. */
     closeAfterAnswers(): void {
-        for (const caller of this.open) {
+        for (const caller of this.openExchanges) {
             caller.closeAfterAnswer();
         }
     }
 
-    /** Lets requests that wait for an upstream look again. */
+    /** Makes requests that wait for an upstream choose again. */
     receiveChange(): void {
         this.chooser.receiveChange();
     }
 
-    /** A version of an adapter was named: what is under way with one that it replaces must begin in time. */
+    /** Updates the start limits of running attempts after a new adapter version was announced, since it may replace theirs. */
     receiveVersion(): void {
-        this.attempts.forEach(attempt => attempt.updateBeginTime());
+        this.attempts.forEach(attempt => attempt.updateStartLimit());
     }
 
-    /** Engines of other VMs have changed: requests that wait look again soon. */
+    /** Makes waiting requests choose again soon after the status of engines has changed. */
     receiveNews(): void {
-        this.chooser.receiveNews();
+        this.chooser.receiveEngineStatus();
     }
 
     removeUpstream(id: string): void {
-        this.kept.removeEngine(id);
+        this.prefixCache.removeEngine(id);
         this.options.admissions.removeEngine(id);
         this.options.pool.removeUpstream(id);
     }
 
     async handle(caller: CallerExchange): Promise<void> {
-        this.open.add(caller);
+        this.openExchanges.add(caller);
         try {
             await this.serve(caller);
         }
         finally {
-            this.open.delete(caller);
+            this.openExchanges.delete(caller);
         }
     }
 
@@ -198,13 +198,13 @@
         }
         const account = known.value;
         const claim = this.options.accounts.createClaim(account, demand);
-        const body = await this.readClaimed(caller, demand, claim, table.routing.limits.maxBodyBytes);
+        const body = await this.readBodyWithClaim(caller, demand, claim, table.routing.limits.maxBodyBytes);
         if (body === undefined) {
             return;
         }
         this.options.budgets(service.name).recordRequest(startedAt);
         const timeMs = Math.min(demand.budgetMs ?? Infinity, route.timeoutMs);
-        await this.runReleasing(createJob({
+        await this.runWithRelease(createJob({
             caller,
             demand,
             route,
@@ -224,8 +224,8 @@
         }));
     }
 
-    /** Reads the body while the request's cost is claimed; undefined if the caller has left or been refused. */
-    private async readClaimed(
+    /** Reads the body while the request's quota is claimed; undefined if the caller has left or the request was refused. */
+    private async readBodyWithClaim(
         caller: CallerExchange,
         demand: CallerDemand,
         claim: QuotaClaim | undefined,
@@ -250,16 +250,16 @@
         return body;
     }
 
-    /** Holds the first requests of a process until it has read what it needs. */
+    /** Delays the first requests of a process until it has read routes and upstreams. */
     private async waitForStart(since: number): Promise<void> {
-        const { cluster, readTime, startWaitMs = usualStartWaitMs } = this.options;
+        const { cluster, readTime, startWaitMs = defaultStartWaitMs } = this.options;
         while (!cluster.isComplete && readTime() - since < startWaitMs) {
             await this.chooser.waitForChange(startWaitMs);
         }
     }
 
-    /** Runs a request, and gives up what it was granted: its permit if it came under suspicion, its cost if it has not run. */
-    private async runReleasing(job: Job): Promise<void> {
+    /** Runs a request; afterwards ends its permit if it was suspect, and releases its quota if it has not run. */
+    private async runWithRelease(job: Job): Promise<void> {
         try {
             await this.runJob(job);
         }
@@ -278,19 +278,19 @@
             await guard.waitForPermit(job);
             const ready = await this.chooser.chooseReady(job);
             if (ready === undefined && guard.mayWaitForPermit(job)) {
-                // An upstream has ended under another copy of it while this one waited.
+                // An upstream has ended while it ran another copy of the request, so this copy needs a permit.
                 continue;
             }
             if (job.caller.hasLeft || ready === undefined) {
-                ready?.admission?.end();
-                this.finishWithout(job, last);
+                ready?.admission?.finish();
+                this.finishUnserved(job, last);
                 return;
             }
             const { choice } = ready;
-            const isRepeat = job.attempts > 0 && !(last?.kind === "notRun" && !last.wasSent);
-            if (isRepeat && !this.claimRepeat(job)) {
-                ready.admission?.end();
-                this.finishWithout(job, last, "retryBudgetSpent");
+            const isRetry = job.attempts > 0 && !(last?.kind === "notRun" && !last.wasSent);
+            if (isRetry && !this.claimRetry(job)) {
+                ready.admission?.finish();
+                this.finishUnserved(job, last, "retryBudgetSpent");
                 return;
             }
             last = await this.runAttempt(job, ready);
@@ -300,8 +300,8 @@
                 this.recordEnd(job, last.kind, choice);
                 return;
             }
-            if (!this.mayRepeat(job, last)) {
-                this.finishWithout(job, last);
+            if (!this.mayRetry(job, last)) {
+                this.finishUnserved(job, last);
                 return;
             }
             this.options.onRetry(last.kind);
@@ -315,19 +315,19 @@
         }
     }
 
-    /** Whether what is known by now of a request lets it run. */
+    /** Whether the crash guard and the account guard currently allow a request to run. */
     private mayRun(job: Job): boolean {
         const { guard, accounts } = this.options;
         return !guard.isRefused(job) && !guard.isHeld(job) && accounts.findRefusal(job) === undefined;
     }
 
-    private claimRepeat(job: Job): boolean {
+    private claimRetry(job: Job): boolean {
         const { budgets, readTime, countVms } = this.options;
         return budgets(job.service.name).claimRepeat(readTime(), countVms());
     }
 
-    /** Whether another attempt is allowed and may still help. */
-    private mayRepeat(job: Job, end: AttemptEnd): boolean {
+    /** Whether another attempt is allowed and can still succeed in time. */
+    private mayRetry(job: Job, end: AttemptEnd): boolean {
         if (job.deadlineAt - this.options.readTime() < minAttemptMs) {
             return false;
         }
@@ -344,14 +344,14 @@
         const load = this.addLoad(job, choice);
         const identity = this.options.accounts.findIdentity(job);
         let writtenAt: number | undefined;
-        let begunAt: number | undefined;
+        let responseStartedAt: number | undefined;
         const key = findAdapterKey(job.demand.model);
         const replacedMs = this.readReplacedMs(key, choice);
-        let words: UpstreamWords = noWords;
+        let metadata: UpstreamWords = emptyMetadata;
         job.attempts += 1;
         const attempt = new Attempt({
             ...this.createAttemptTimes(job, choice, sentAt),
-            readBeginMs: () => this.readBeginMs(key, choice),
+            readStartLimitMs: () => this.readStartLimitMs(key, choice),
             caller: job.caller,
             requestId: job.demand.requestId,
             route: job.route,
@@ -371,19 +371,19 @@
             isFresh: !isIdempotent(job.route),
             progress: job.progress,
             readTime,
-            // What the choice was made by may be news by the time that the connection is open.
+            // The state that the choice was based on may have changed by the time that the connection is open.
             checkBeforeSend: () => {
                 writtenAt = this.maySend(job, choice, identity) ? readTime() : undefined;
                 return writtenAt !== undefined;
             },
-            onWords: said => {
-                words = said;
-                this.receiveWords(upstream.id, said);
+            onMetadata: received => {
+                metadata = received;
+                this.receiveMetadata(upstream.id, received);
             },
-            onBegin: () => {
-                begunAt = readTime();
+            onStart: () => {
+                responseStartedAt = readTime();
                 load.begin();
-                admission?.begin();
+                admission?.start();
                 health.recordPace((readTime() - sentAt) / Math.max(30, choice.costMs));
             },
         });
@@ -391,8 +391,8 @@
         const end = await attempt.end;
         this.attempts.delete(attempt);
         load.end();
-        admission?.end();
-        this.recordAttempt(job, choice, end, sentAt, words);
+        admission?.finish();
+        this.recordAttempt(job, choice, end, sentAt, metadata);
         log.record("attempt", {
             request: job.demand.requestId,
             upstream: upstream.id,
@@ -403,20 +403,20 @@
             replacedMs,
             waitedMs: Math.round(job.waitedMs),
             writtenMs: formatElapsed(sentAt, writtenAt),
-            begunMs: formatElapsed(sentAt, begunAt),
+            begunMs: formatElapsed(sentAt, responseStartedAt),
             ms: Math.round(readTime() - sentAt),
             end: end.kind,
             detail: "detail" in end ? end.detail : undefined,
             status: "status" in end ? end.status : undefined,
             leavingMs: formatElapsed(leavingSince, sentAt),
-            saysLeaving: words.isLeaving || undefined,
-            asksRestMs: words.askedRestMs,
+            saysLeaving: metadata.isLeaving || undefined,
+            asksRestMs: metadata.askedRestMs,
         });
-        await this.options.guard.recordEnd(job, upstream, end, { sentAt, begunAt });
+        await this.options.guard.recordEnd(job, upstream, end, { sentAt, begunAt: responseStartedAt });
         return end;
     }
 
-    /** Whether all that a choice was made by still holds in the step that writes the request. */
+    /** Whether all conditions of a choice still hold in the step that writes the request. */
     private maySend(job: Job, choice: UpstreamChoice, identity: CallerIdentity | undefined): boolean {
         const { view, accounts, readTime } = this.options;
         const { id } = choice.state.upstream;
@@ -427,37 +427,37 @@
             && this.mayUseVersion(findAdapterKey(job.demand.model), choice);
     }
 
-    /** Whether the version of a choice may still be sent a request. */
+    /** Whether the adapter version of a choice may still be used. */
     private mayUseVersion(key: string | undefined, { version }: UpstreamChoice): boolean {
         return key === undefined || this.options.view.versions.mayUse(key, version ?? 0, this.readBoot());
     }
 
-    /** How long a request for the version of a choice may wait to begin, in milliseconds; infinite for the newest. */
-    private readBeginMs(key: string | undefined, { version }: UpstreamChoice): number {
+    /** Time left for a request to start with the version of a choice, in milliseconds; infinite for the newest version. */
+    private readStartLimitMs(key: string | undefined, { version }: UpstreamChoice): number {
         const { versions } = this.options.view;
         return key === undefined ? Infinity : versions.readUseEnd(key, version ?? 0) - this.readBoot();
     }
 
-    /** How long the version of a choice has been replaced; undefined if it is the newest, or if that is not known. */
+    /** Time since the version of a choice was replaced, in milliseconds; undefined if it is the newest or the time is unknown. */
     private readReplacedMs(key: string | undefined, { version }: UpstreamChoice): number | undefined {
         const { versions } = this.options.view;
         const replacedAt = key === undefined ? undefined : versions.findReplacedAt(key, version ?? 0);
         return formatElapsed(replacedAt === -Infinity ? undefined : replacedAt, this.readBoot());
     }
 
-    /** Takes what an upstream says of itself as soon as it says so. */
-    private receiveWords(upstream: string, words: UpstreamWords): void {
+    /** Handles the metadata of a response as soon as its head arrives. */
+    private receiveMetadata(upstream: string, metadata: UpstreamWords): void {
         const { view, readTime, onLeaving, onRest } = this.options;
-        if (words.askedRestMs !== undefined) {
-            view.rests.record(upstream, words.askedRestMs, readTime());
+        if (metadata.askedRestMs !== undefined) {
+            view.rests.record(upstream, metadata.askedRestMs, readTime());
             onRest();
         }
-        if (words.isLeaving) {
+        if (metadata.isLeaving) {
             onLeaving(upstream);
         }
     }
 
-    /** Urgency of a request at an engine; servers know none. */
+    /** Returns the priority of a request at an engine; undefined for plain services, which have no priorities. */
     private readPriority({ service, route, account }: Job): number | undefined {
         return service.engine === undefined ? undefined : readPriority(route.priority, account?.priority);
     }
@@ -476,8 +476,8 @@
         const gapMs = (job.route.gapAimMs ?? job.route.aimMs) * pauseFactor;
         const minMs = job.service.engine === undefined ? minFirstByteMs : minFirstEventMs;
         const firstByteMs = Math.max(minMs, expectedMs);
-        // An attempt that is cut too late for another one only loses what was done.
-        const isWorthCutting = firstByteMs < timeLeftMs * lastTryShare;
+        // Cancelling an attempt too late for another one only loses the work done.
+        const isWorthCutting = firstByteMs < timeLeftMs * lastRetryShare;
         return { firstByteMs: isWorthCutting ? firstByteMs : timeLeftMs + 1000, pauseMs: gapMs, timeLeftMs };
     }
 
@@ -491,7 +491,7 @@
         }, this.options.readTime());
     }
 
-    /** Learns from the end of an attempt. */
+    /** Updates health, prefix cache and the job's penalties from the end of an attempt. */
     private recordAttempt(
         job: Job,
         choice: UpstreamChoice,
@@ -508,13 +508,13 @@
             case "complete":
                 health.recordAnswer(now, this.readAnswerPace(job, now - sentAt));
                 if (model !== undefined) {
-                    this.kept.record(upstream.id, model, now);
+                    this.prefixCache.record(upstream.id, model, now);
                     this.recordPauses(job, choice.state, sentAt);
                 }
                 return;
             case "failed":
                 job.runs += 1;
-                job.tried.set(upstream.id, { costMs: failedCostMs, until: Infinity, hasDeclined: false });
+                job.tried.set(upstream.id, { costMs: failurePenaltyMs, until: Infinity, hasDeclined: false });
                 if (askedRestMs === undefined) {
                     health.recordFailure(now);
                 }
@@ -529,12 +529,12 @@
             case "notRun":
                 job.rejections += 1;
                 if (!end.wasSent) {
-                    if (end.detail !== "connection closed" && end.detail !== withheldDetail) {
+                    if (end.detail !== "connection closed" && end.detail !== withdrawnDetail) {
                         health.recordUnreachable(now);
                     }
                     return;
                 }
-                // One that asks for rest has failed in nothing, and lacks nothing that its owner could load.
+                // An upstream that requests backoff has not failed, and lacks no adapter that its owner could load.
                 if (key !== undefined && askedRestMs === undefined) {
                     sendMissing(upstream.id, key);
                 }
@@ -545,32 +545,32 @@
         }
     }
 
-    /** Learns from a long answer whether a prompt beside it held it up. */
+    /** Records whether a long response paused for longer than its target beside the largest other prompt. */
     private recordPauses(job: Job, state: UpstreamState, sentAt: number): void {
         const { gapAimMs } = job.route;
         if (gapAimMs !== undefined && job.attempts === 1 && hasLongAnswer(job.demand.model)) {
-            this.longPrompts.record(state.prompts.findLargest(sentAt), job.progress.longestPauseMs > gapAimMs);
+            this.longPromptThreshold.record(state.prompts.findLargest(sentAt), job.progress.longestPauseMs > gapAimMs);
         }
     }
 
-    /** Streams tell their pace by their first event; plain answers by their whole time. */
+    /** Plain responses show the pace by their total time. Streams show it by their first event, so it is 1 for engines here. */
     private readAnswerPace(job: Job, ms: number): number {
         return job.service.engine === undefined ? ms / Math.max(30, job.route.aimMs / 4) : 1;
     }
 
-    /** Ends a request that no upstream has answered well: the last failure decides what the caller is told. */
-    private finishWithout(job: Job, last: AttemptEnd | undefined, reason?: RefusalReason): void {
+    /** Finishes a request without a successful response. The last failure determines what the caller receives. */
+    private finishUnserved(job: Job, last: AttemptEnd | undefined, reason?: RefusalReason): void {
         if (job.caller.hasLeft) {
             return;
         }
         if (last?.kind === "failed") {
             const headers = this.options.dialect.listAnswerHeaders(last.headers);
-            if (job.caller.hasHead) {
-                job.caller.cancelAnswer();
+            if (job.caller.hasResponseHead) {
+                job.caller.cancelResponse();
                 return;
             }
-            job.caller.startAnswer(last.status, createBodyHeaders(headers, last.body));
-            job.caller.endAnswer(last.body);
+            job.caller.startResponse(last.status, createBodyHeaders(headers, last.body));
+            job.caller.endResponse(last.body);
             return;
         }
         this.refuse(job.caller, job.demand, this.createRefusal(job, last, reason));
@@ -593,10 +593,10 @@
             const bounded = Math.min(Math.max(halfSeconds, minFullRetrySeconds), maxFullRetrySeconds);
             return { status: 503, reason: "enginesFull", retryAfterSeconds: bounded };
         }
-        const restEndAt = this.findRestEnd(job, now);
-        if (reason === undefined && restEndAt !== undefined) {
-            const restSeconds = Math.ceil((restEndAt - now) / 10) / 100;
-            const bounded = Math.min(restSeconds, maxRestRetrySeconds);
+        const backoffEndAt = this.findBackoffEnd(job, now);
+        if (reason === undefined && backoffEndAt !== undefined) {
+            const backoffSeconds = Math.ceil((backoffEndAt - now) / 10) / 100;
+            const bounded = Math.min(backoffSeconds, maxBackoffRetrySeconds);
             return { status: 503, reason: "upstreamsRest", retryAfterSeconds: bounded };
         }
         const isLate = now > readLastSendAt(job);
@@ -604,10 +604,10 @@
         return { status: 503, reason: reason ?? fallback, retryAfterSeconds };
     }
 
-    /** When the first upstream will have rested that could serve a request; undefined if another one could serve it now. */
-    private findRestEnd(job: Job, now: number): number | undefined {
-        const hasAwake = this.options.view.listAwake(job.service.name, now).length > 0;
-        return hasAwake ? undefined : this.chooser.findRestEnd(job, now);
+    /** Finds when the first backoff ends; undefined if an upstream without backoff could serve the request now. */
+    private findBackoffEnd(job: Job, now: number): number | undefined {
+        const hasAvailable = this.options.view.listAwake(job.service.name, now).length > 0;
+        return hasAvailable ? undefined : this.chooser.findBackoffEnd(job, now);
     }
 
     private refuse(caller: CallerExchange, demand: CallerDemand, answer: OwnAnswer): void {
@@ -638,12 +638,12 @@
             firstEventMs: firstEventAt === undefined ? undefined : Math.round(firstEventAt - job.startedAt),
             longestPauseMs: Math.round(job.progress.longestPauseMs),
             outputTokens: job.demand.model?.outputTokens,
-            longPromptTokens: Math.round(this.longPrompts.tokens),
+            longPromptTokens: Math.round(this.longPromptThreshold.tokens),
         });
     }
 }
 
-/** Time between two moments as a line of the log tells it; undefined if one of them has not come. */
+/** Formats the time between two moments for the log, in milliseconds; undefined if one of them has not come. */
 function formatElapsed(from: number | undefined, to: number | undefined): number | undefined {
     return from === undefined || to === undefined ? undefined : Math.round(to - from);
 }
--- a/packages/node/src/requests/words.ts
+++ b/packages/node/src/requests/words.ts
@@ -1,24 +1,26 @@
 import type { AnswerHead } from "../ports.js";
 
-/** What an upstream says of itself in the head of an answer. */
+/** What the headers of a response say about the upstream that sent it. */
 export type UpstreamWords = Pick<AnswerHead, "isLeaving" | "askedRestMs">;
 
-/** What an upstream says that says nothing of itself. */
-export const noWords: UpstreamWords = { isLeaving: false, askedRestMs: undefined };
+/** Metadata of a response whose headers say nothing about its upstream. */
+export const emptyMetadata: UpstreamWords = { isLeaving: false, askedRestMs: undefined };
 
-/** Whom an answer was expected from, and to what. */
+/** The request and the upstream that a response is expected to name. */
 export interface ExpectedAnswer {
     readonly requestId: string | undefined;
     readonly upstreamName: string;
 }
 
 /**
- * What an answer says of the upstream that was asked. An answer to another request says nothing, and neither does one that
- * names another upstream. One that is not what the request names may be another incarnation at the same address, so that it
- * must give the name.
+ * Reads what a response says about the upstream that the request was sent to. A response to another request or from another
+ * upstream yields no metadata. A response that is marked as misdirected may come from another incarnation at the same
+ * address, so it counts only if it names the upstream.
  */
 export function readWords(head: AnswerHead, { requestId, upstreamName }: ExpectedAnswer): UpstreamWords {
-    const isAnswer = head.requestId === undefined || head.requestId === requestId;
-    const isOwn = head.answeredBy === undefined ? !head.isMisdirected : head.answeredBy === upstreamName;
-    return isAnswer && isOwn ? { isLeaving: head.isLeaving, askedRestMs: head.askedRestMs } : noWords;
+    const isForRequest = head.requestId === undefined || head.requestId === requestId;
+    const isFromUpstream = head.answeredBy === undefined ? !head.isMisdirected : head.answeredBy === upstreamName;
+    return isForRequest && isFromUpstream
+        ? { isLeaving: head.isLeaving, askedRestMs: head.askedRestMs }
+        : emptyMetadata;
 }
--- a/packages/node/test/attempt.test.ts
+++ b/packages/node/test/attempt.test.ts
@@ -54,13 +54,13 @@
                     longestPauseMs: 0,
                 },
                 firstByteMs: 60_000,
-                readBeginMs,
+                readStartLimitMs: readBeginMs,
                 pauseMs: 60_000,
                 timeLeftMs,
                 readTime,
                 checkBeforeSend: () => true,
-                onWords: () => {},
-                onBegin: () => {},
+                onMetadata: () => {},
+                onStart: () => {},
             });
             sent = attempt;
             void attempt.end.then(end => {
@@ -89,7 +89,7 @@
     let beginMs = Infinity;
     const end = await runUnanswered("stream", () => beginMs, 60_000, attempt => {
         beginMs = 0;
-        attempt.updateBeginTime();
+        attempt.updateStartLimit();
     });
     assert.is(end.kind === "broken" && end.reason, "versionReplaced");
 });
--- a/packages/node/test/choosing.test.ts
+++ b/packages/node/test/choosing.test.ts
@@ -48,8 +48,8 @@
         dataCentre: "z",
         view,
         admissions,
-        kept: new KeptParts(),
-        longPrompts: new PauseThreshold(),
+        prefixCache: new KeptParts(),
+        longPromptThreshold: new PauseThreshold(),
         log: createSilentLog(readTime),
         readTime,
         readBoot,
@@ -102,7 +102,7 @@
     view.removeVm("owner");
     const ready = chooser.chooseReady(createRequest(6000));
     for (let news = 0; news < 30; news += 1) {
-        chooser.receiveNews();
+        chooser.receiveEngineStatus();
         // Whatever the news wake has run before the next ones, but no timer has.
         for (let step = 0; step < 20; step += 1) {
             await Promise.resolve();
@@ -110,7 +110,7 @@
     }
     assert.is(counts.choices, 1);
     view.updateNews("owner", createNews("e1"), performance.now());
-    chooser.receiveNews();
+    chooser.receiveEngineStatus();
     assert.is((await ready)?.choice.version, 3);
     assert.is(counts.choices, 2);
 });
