--- a/packages/node/src/requests/admissions.ts
+++ b/packages/node/src/requests/admissions.ts
@@ -1,8 +1,8 @@
 import type { AdmissionAnswer, AdmissionRequest, UpstreamLoad } from "@radishreel/fleet";
 
 /**
- * Time without a reply after which an owner counts as frozen or unreachable, in milliseconds. Replies take about 3 ms, or
- * 30 ms from a busy VM, while a silent link is detected only after seconds.
+ * Time without a reply after which an owner counts as frozen or unreachable, in milliseconds. Replies take about 3 ms,
+ * or 30 ms from a busy VM, while a silent link is detected only after seconds.
  */
 const replyTimeoutMs = 180;
 
@@ -13,7 +13,7 @@
 export type AdmissionOutcome =
     /** The request may be sent to the engine. */
     | { readonly kind: "admitted"; readonly version: number | undefined; }
-    /** The owner cannot admit the request within the caller's time limit, but expects to after this time, in milliseconds. */
+    /** The owner cannot admit the request within the caller's time limit, but expects to after `expectedMs`. */
     | { readonly kind: "declined"; readonly expectedMs: number; }
     /** The engine is clearly busier than expected, and the request was not admitted. */
     | {
@@ -75,8 +75,8 @@
 }
 
 /**
- * Tracks which requests of this VM wait for admission at engines, which run there, and which owner knows of each. Each new
- * owner of an engine receives all requests that run there.
+ * Tracks which requests of this VM wait for admission at engines, which run there, and which owner knows of each. Each
+ * new owner of an engine receives all requests that run there.
  */
 export class Admissions {
     private readonly tickets = new Map<number, OpenTicket>();
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -6,7 +6,7 @@
 import { Exchange, type ExchangePhase, type ExchangeReceiver } from "./exchange.js";
 import { readWords, type UpstreamWords } from "./words.js";
 
-/** Maximum bytes of a plain response that are buffered until it is complete; larger responses are streamed to the caller. */
+/** Maximum bytes of a plain response that are buffered until it is complete; larger responses are streamed. */
 const maxBufferedBytes = 256 * 1024;
 
 /** How one attempt at an upstream ended. */
@@ -142,8 +142,9 @@
     }
 
     /**
-     * Updates the time limit for the start of a stream, since its adapter version may have been replaced after the request was
-     * sent. Plain requests have no such limit: their responses don't show when the engine started to run them.
+     * Updates the time limit for the start of a stream, since its adapter version may have been replaced after the
+     * request was sent. Plain requests have no such limit: their responses don't show when the engine started to run
+     * them.
      */
     updateStartLimit(): void {
         const { route, readStartLimitMs: readBeginMs } = this.options;
@@ -303,7 +304,7 @@
         if (this.isCloseDelimited && !caller.isCloseDelimited) {
             this.finishBroken(
                 "truncatedAnswer",
-                "a resumed stream ended without an end mark, by the close of its connection",
+                "the end of a resumed stream is marked only by the close of its connection",
             );
             return;
         }
--- a/packages/node/src/requests/caller.ts
+++ b/packages/node/src/requests/caller.ts
@@ -129,8 +129,8 @@
 
     /**
      * Writes the head of an upstream's response.
-     * @param isCloseDelimited Whether the response has no length and ends with its connection. A complete response of this
-     * kind looks the same as a truncated one, so it is passed on in the same form and its end is not confirmed.
+     * @param isCloseDelimited Whether the response has no length and ends with its connection. A complete response of
+     * this kind looks the same as a truncated one, so it is passed on in the same form and its end is not confirmed.
      */
     startResponse(status: number, headers: readonly string[], isCloseDelimited = false): void {
         if (this.hasCallerLeft) {
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/choosing.ts
@@ -24,8 +24,8 @@
 const reviewIntervalMs = 300;
 
 /**
- * How much sooner another engine must be expected for a request to move there, in milliseconds. A move loses the request's
- * turn, and the other engine loads an adapter that the first engine may already be loading.
+ * How much sooner another engine must be expected for a request to move there, in milliseconds. A move loses the
+ * request's turn, and the other engine loads an adapter that the first engine may already be loading.
  */
 const minMoveGainMs = 250;
 
@@ -33,21 +33,21 @@
 const maxMoves = 3;
 
 /**
- * How often one request may choose again because its chosen engine was busier than this VM knew. Each time costs a message
- * and its reply, about 3 ms.
+ * How often one request may choose again because its chosen engine was busier than this VM knew. Each time costs a
+ * message and its reply, about 3 ms.
  */
 const maxRedirects = 4;
 
 /** Assumed remainder of a wait that has lasted longer than expected, in milliseconds: about one load. */
 const overdueWaitMs = 250;
 
-/** How long a request penalises an engine whose owner was lost, in milliseconds. Messages about a new owner arrive by then. */
+/** How long a request penalises an engine whose owner was lost, in milliseconds: until news of a new owner arrives. */
 const lostOwnerPauseMs = 60;
 
 /** Penalty of an engine whose owner was lost, in milliseconds: less than the cost of a load elsewhere. */
 const lostOwnerPenaltyMs = 200;
 
-/** Minimum time between two admission requests of one request, in milliseconds, so that news of a lost owner can arrive. */
+/** Minimum time between two admission requests of one job, in milliseconds, so that news of a lost owner can arrive. */
 const minAskIntervalMs = 5;
 
 /** How long a request respects that an owner declined it, in milliseconds. */
@@ -56,15 +56,16 @@
 /** Maximum extra delay for using the newest version while an older version may still be used, in milliseconds. */
 const maxNewestDelayMs = 300;
 
-/** Lifetime of a load request for a newer version, in milliseconds: about as long as an older version may still be used. */
+/** Lifetime of a load request for a newer version, in milliseconds: about as long as an older version may be used. */
 const preparationLifetimeMs = 2500;
 
 /** Time that an engine takes to generate one token while it also reads prompts of other requests, in milliseconds. */
 const decodeMsPerToken = 10;
 
 /**
- * How long engine status messages are batched before waiting requests choose again, in milliseconds. Each choice compares all
- * upstreams, and dozens of owners send several messages per second each, most when all VMs start. A load takes at least 250 ms.
+ * How long engine status messages are batched before waiting requests choose again, in milliseconds. Each choice
+ * compares all upstreams, and dozens of owners send several messages per second each, most when all VMs start. A load
+ * takes at least 250 ms.
  */
 const statusBatchMs = 20;
 
@@ -79,7 +80,7 @@
     readonly readTime: () => number;
     /** Clock that keeps running while the VM is suspended, in milliseconds. @default readTime */
     readonly readBoot?: (() => number) | undefined;
-    /** Whether a request may run; checked again during waits, since another VM may report it as suspect. @default always */
+    /** Whether a request may run; rechecked during waits, since another VM may report it as suspect. @default always */
     readonly mayRun?: ((job: Job) => boolean) | undefined;
     /** Whether there is a link to a VM. */
     readonly isLinked: (vm: string) => boolean;
@@ -164,8 +165,9 @@
     }
 
     /**
-     * Whether an upstream may become available in time: there are engines whose owners are expected back, or all upstreams
-     * are backing off and the first backoff ends soon enough. A plain service without any server is refused immediately.
+     * Whether an upstream may become available in time: there are engines whose owners are expected back, or all
+     * upstreams are backing off and the first backoff ends soon enough. A plain service without any server is refused
+     * immediately.
      */
     private mayWait(job: Job, now: number): boolean {
         const halfTimeAt = job.startedAt + (job.deadlineAt - job.startedAt) / 2;
@@ -177,7 +179,7 @@
             : backoffEndAt !== undefined && backoffEndAt < Math.min(halfTimeAt, readLastSendAt(job));
     }
 
-    /** Finds when the first backoff ends among the upstreams that could serve a request; undefined if none is backing off. */
+    /** Finds the first end of a backoff among the upstreams that could serve a request; undefined if none backs off. */
     findBackoffEnd(job: Job, now: number): number | undefined {
         const { view } = this.options;
         const ends = view.listUsable(job.service.name)
@@ -235,7 +237,7 @@
         return choice;
     }
 
-    /** Requests admission from the owner of the chosen engine and waits for it; undefined if the request must choose again. */
+    /** Waits for admission by the owner of the chosen engine; undefined if the request must choose again. */
     private async askOwner(job: Job, choice: UpstreamChoice, now: number): Promise<ReadyUpstream | undefined> {
         const { model } = job.demand;
         const { state } = choice;
@@ -257,7 +259,7 @@
         this.recordAsked(job, choice, details);
         const admission = admissions.ask(state.owner!, engine, details);
         const outcome = await this.waitForOutcome(job, admission);
-        // Waits can last seconds, and the owner may know less than this VM, so the conditions of the choice are checked again.
+        // Waits can last seconds, and the owner may know less than this VM, so the conditions are checked again.
         const { view } = this.options;
         const isUsable = view.isUsable(engine) && !view.rests.isResting(engine, this.options.readTime());
         const isVersionAllowed = outcome?.kind === "admitted"
@@ -286,8 +288,8 @@
     }
 
     /**
-     * Waits for an owner's decision; undefined if the caller left, the latest send time has passed, another engine is sooner,
-     * the engine is leaving or backs off for longer, or the request may no longer run.
+     * Waits for an owner's decision; undefined if the caller left, the latest send time has passed, another engine is
+     * sooner, the engine is leaving or backs off for longer, or the request may no longer run.
      */
     private async waitForOutcome(job: Job, admission: Admission): Promise<AdmissionOutcome | undefined> {
         const { readTime } = this.options;
--- a/packages/node/src/requests/connections.ts
+++ b/packages/node/src/requests/connections.ts
@@ -12,7 +12,7 @@
 /** How long before the upstream's own idle timeout a connection is closed, in milliseconds. */
 const keepAliveMarginMs = 600;
 
-/** Minimum idle time before a connection is reused, in milliseconds, so that a second response to the last request shows up. */
+/** Minimum idle time before reuse, in milliseconds, so that a second response to the last request is noticed. */
 const reuseDelayMs = 40;
 
 /** Maximum number of idle connections to one upstream. */
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Resets the connection. A reset discards bytes that a broken network path delays. After a mere close they arrive when
-     * the path recovers: an order can then arrive 3 s after its sender gave it up, with an older fencing token than the
-     * sender's current one.
+     * Resets the connection. A reset discards bytes that a broken network path delays. After a mere close they arrive
+     * when the path recovers: an order can then arrive 3 s after its sender gave it up, with an older fencing token
+     * than the sender's current one.
      */
     cancel(): void {
         if (this.socket !== undefined && !this.socket.connecting && !this.socket.destroyed) {
@@ -114,7 +114,8 @@
 
     /**
      * Takes a connection out of the pool or opens a new one.
-     * @param isFresh Whether to open a new connection, for requests that must not hit a connection that is being closed.
+     * @param isFresh Whether to open a new connection, for requests that must not hit a connection that is being
+     * closed.
      */
     claim(upstreamId: string, address: string, isFresh: boolean, now: number): UpstreamConnection {
         const connections = (this.idle.get(upstreamId) ?? []).filter(connection => connection.isUsable);
--- a/packages/node/src/requests/digest.ts
+++ b/packages/node/src/requests/digest.ts
@@ -9,14 +9,14 @@
     readonly method: string;
     readonly host: string;
     readonly path: string;
-    /** Name of the client account, or the caller's key where there are no accounts; undefined if the caller has neither. */
+    /** Name of the client account, or the caller's key where there are no accounts; undefined without either. */
     readonly account: string | undefined;
     readonly body: Buffer | undefined;
 }
 
 /**
- * Identifies a request by a one-way hash of its content. Each part is computed on first use, since hashing a body of 4 MB
- * takes some milliseconds.
+ * Identifies a request by a one-way hash of its content. Each part is computed on first use, since hashing 4 MB takes
+ * some milliseconds.
  */
 export class RequestDigest {
     private headDigest: string | undefined;
--- a/packages/node/src/requests/events.ts
+++ b/packages/node/src/requests/events.ts
@@ -12,8 +12,8 @@
 const lineFeed = 10;
 
 /**
- * Splits a stream of server-sent events into complete events. Bytes after the last complete event are buffered, so that an
- * event that an upstream did not finish never reaches a caller.
+ * Splits a stream of server-sent events into complete events. Bytes after the last complete event are buffered, so that
+ * an event that an upstream did not finish never reaches a caller.
  */
 export class EventSplitter {
     private pendingBytes: Buffer = Buffer.alloc(0);
--- a/packages/node/src/requests/job.ts
+++ b/packages/node/src/requests/job.ts
@@ -36,7 +36,7 @@
     moves: number;
     /** How often the request chose again because an engine was busier than expected. */
     redirects: number;
-    /** Earliest time at which an engine that declined the request expects to have room; undefined while none has declined. */
+    /** Earliest time at which an engine that declined the request expects to have room; undefined before that. */
     expectedAt: number | undefined;
     /** Permit under which a suspect request may run, although upstreams have ended while they ran it. */
     permit: Permit | undefined;
--- a/packages/node/src/requests/patience.ts
+++ b/packages/node/src/requests/patience.ts
@@ -7,16 +7,16 @@
 export const minAttemptMs = 60;
 
 /**
- * Callers wait for the next event of a stream, including the first one, before they disconnect, for the longest of 2 s, four
- * times the route's latency target and eight times its target for pauses. The minimum is in milliseconds.
+ * Callers wait for the next event of a stream, including the first one, before they disconnect, for the longest of 2 s,
+ * four times the route's latency target and eight times its target for pauses. The minimum is in milliseconds.
  */
 const minCallerLimitMs = 2000;
 const latencyTargetFactor = 4;
 const pauseTargetFactor = 8;
 
 /**
- * How long before the caller's time limit a request without an upstream is refused, in milliseconds. The refusal must reach
- * the caller in time for the caller to retry instead of disconnecting.
+ * How long before the caller's time limit a request without an upstream is refused, in milliseconds. The refusal must
+ * reach the caller in time for the caller to retry instead of disconnecting.
  */
 const refusalMarginMs = 150;
 
@@ -30,9 +30,9 @@
 }
 
 /**
- * Returns the latest time at which a request can be sent so that its response starts before the caller disconnects. Holding
- * a request longer only keeps its caller from retrying elsewhere: under heavy load, callers leave streams after 4 s while
- * the requests still have up to 11 s until their deadlines.
+ * Returns the latest time at which a request can be sent so that its response starts before the caller disconnects.
+ * Holding a request longer only keeps its caller from retrying elsewhere: under heavy load, callers leave streams after
+ * 4 s while the requests still have up to 11 s until their deadlines.
  */
 export function readLastSendAt(request: WaitingRequest): number {
     const { route, demand, startedAt, deadlineAt, progress } = request;
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -33,37 +33,37 @@
 const retryAfterSeconds = 0.5;
 
 /**
- * Maximum wait of requests until a newly started process has read routes and upstreams, in milliseconds. Reading takes about
- * 100 ms, less than the time after which refused callers would retry.
+ * Maximum wait of requests until a newly started process has read routes and upstreams, in milliseconds. Reading takes
+ * about 100 ms, less than the time after which refused callers would retry.
  */
 const defaultStartWaitMs = 300;
 
 /**
- * Bounds of `Retry-After` when all engines are full, in seconds. The caller retries after half of the time that its request
- * would have to wait now, so that the retry waits no longer than callers do.
+ * Bounds of `Retry-After` when all engines are full, in seconds. The caller retries after half of the time that its
+ * request would have to wait now, so that the retry waits no longer than callers do.
  */
 const minFullRetrySeconds = 0.25;
 const maxFullRetrySeconds = 2;
 
 /**
- * Maximum `Retry-After` when all upstreams are backing off, in seconds. Meanwhile another VM may reach them, and upstreams
- * may be replaced or added.
+ * Maximum `Retry-After` when all upstreams are backing off, in seconds. Meanwhile another VM may reach them, and
+ * upstreams may be replaced or added.
  */
 const maxBackoffRetrySeconds = 30;
 
 /**
- * Penalty of an upstream whose response to this request was a failure, in milliseconds. Failures often affect one run only,
- * so an engine that holds the adapter is tried again before a load of 250 ms elsewhere.
+ * Penalty of an upstream whose response to this request was a failure, in milliseconds. Failures often affect one run
+ * only, so an engine that holds the adapter is tried again before a load of 250 ms elsewhere.
  */
 const failurePenaltyMs = 150;
 
-/** How long a request avoids an upstream that rejected it, in milliseconds. The owner's message about it arrives by then. */
+/** How long a request avoids an upstream that rejected it, in milliseconds: until its owner's message arrives. */
 const rejectedPauseMs = 60;
 
 /**
- * Maximum wait for the first byte before an idempotent request is retried elsewhere: a factor of the expected time, with a
- * minimum in milliseconds for servers and for engines. Engines under heavy load often take 0.9 s, and the part of a prompt
- * that they have read is lost with the attempt; servers respond within 0.1 s.
+ * Maximum wait for the first byte before an idempotent request is retried elsewhere: a factor of the expected time,
+ * with a minimum in milliseconds for servers and for engines. Engines under heavy load often take 0.9 s, and the part
+ * of a prompt that they have read is lost with the attempt; servers respond within 0.1 s.
  */
 const firstByteFactor = 4;
 const minFirstByteMs = 700;
@@ -145,7 +145,7 @@
         this.chooser.receiveChange();
     }
 
-    /** Updates the start limits of running attempts after a new adapter version was announced, since it may replace theirs. */
+    /** Updates the start limits of running attempts, since a newly announced adapter version may replace theirs. */
     receiveVersion(): void {
         this.attempts.forEach(attempt => attempt.updateStartLimit());
     }
@@ -224,7 +224,7 @@
         }));
     }
 
-    /** Reads the body while the request's quota is claimed; undefined if the caller has left or the request was refused. */
+    /** Reads the body while the quota is claimed; undefined if the caller has left or the request was refused. */
     private async readBodyWithClaim(
         caller: CallerExchange,
         demand: CallerDemand,
@@ -432,13 +432,13 @@
         return key === undefined || this.options.view.versions.mayUse(key, version ?? 0, this.readBoot());
     }
 
-    /** Time left for a request to start with the version of a choice, in milliseconds; infinite for the newest version. */
+    /** Time left to start a request with the version of a choice, in milliseconds; infinite for the newest version. */
     private readStartLimitMs(key: string | undefined, { version }: UpstreamChoice): number {
         const { versions } = this.options.view;
         return key === undefined ? Infinity : versions.readUseEnd(key, version ?? 0) - this.readBoot();
     }
 
-    /** Time since the version of a choice was replaced, in milliseconds; undefined if it is the newest or the time is unknown. */
+    /** Time since the version of a choice was replaced, in milliseconds; undefined for the newest or if unknown. */
     private readReplacedMs(key: string | undefined, { version }: UpstreamChoice): number | undefined {
         const { versions } = this.options.view;
         const replacedAt = key === undefined ? undefined : versions.findReplacedAt(key, version ?? 0);
@@ -553,7 +553,9 @@
         }
     }
 
-    /** Plain responses show the pace by their total time. Streams show it by their first event, so it is 1 for engines here. */
+    /**
+     * Plain responses show the pace by their total time. Streams show it by their first event, so engines get 1 here.
+     */
     private readAnswerPace(job: Job, ms: number): number {
         return job.service.engine === undefined ? ms / Math.max(30, job.route.aimMs / 4) : 1;
     }
--- a/packages/node/src/requests/words.ts
+++ b/packages/node/src/requests/words.ts
@@ -13,9 +13,9 @@
 }
 
 /**
- * Reads what a response says about the upstream that the request was sent to. A response to another request or from another
- * upstream yields no metadata. A response that is marked as misdirected may come from another incarnation at the same
- * address, so it counts only if it names the upstream.
+ * Reads what a response says about the upstream that the request was sent to. A response to another request or from
+ * another upstream yields no metadata. A response that is marked as misdirected may come from another incarnation at
+ * the same address, so it counts only if it names the upstream.
  */
 export function readWords(head: AnswerHead, { requestId, upstreamName }: ExpectedAnswer): UpstreamWords {
     const isForRequest = head.requestId === undefined || head.requestId === requestId;
