--- a/packages/node/src/requests/admissions.ts
+++ b/packages/node/src/requests/admissions.ts
@@ -191,9 +191,9 @@
         this.lastTicket += 1;
         const id = this.lastTicket;
         const askedAt = this.options.readTime();
-        let finish: (outcome: AdmissionOutcome) => void = () => {};
+        let resolveOutcome: (outcome: AdmissionOutcome) => void = () => {};
         const outcome = new Promise<AdmissionOutcome>(resolve => {
-            finish = resolve;
+            resolveOutcome = resolve;
         });
         const ticket: OpenTicket = {
             engine,
@@ -202,7 +202,7 @@
             owner,
             isAdmitted: false,
             expectedAt: askedAt,
-            resolveOutcome: finish,
+            resolveOutcome,
             timer: undefined,
         };
         this.tickets.set(id, ticket);
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -147,12 +147,12 @@
      * them.
      */
     updateStartLimit(): void {
-        const { route, readStartLimitMs: readBeginMs } = this.options;
+        const { route, readStartLimitMs } = this.options;
         if (this.isDone || this.hasStarted || route.kind !== "stream") {
             return;
         }
         clearTimeout(this.startLimitTimer);
-        const startLimitMs = readBeginMs();
+        const startLimitMs = readStartLimitMs();
         if (startLimitMs !== Infinity) {
             this.startLimitTimer = setTimeout(() => this.cancelUnstarted(), Math.max(0, startLimitMs));
         }
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/choosing.ts
@@ -191,7 +191,7 @@
 
     /** @param excludedEngine Id of an engine that must not be chosen. */
     private choose(job: Job, now: number, excludedEngine?: string): UpstreamChoice | undefined {
-        const { view, dataCentre, longPromptThreshold: longPrompts, prefixCache: kept } = this.options;
+        const { view, dataCentre, longPromptThreshold, prefixCache } = this.options;
         this.options.onChoice();
         const active = [...job.tried].filter(([, { until }]) => until > now);
         const penalties = new Map(active.map(([id, { costMs }]) => [id, costMs]));
@@ -206,8 +206,8 @@
         const options: EngineChoiceOptions = {
             ...base,
             demand: model,
-            longPromptTokens: longPrompts.tokens,
-            findKeptTokens: engine => kept.countKeptTokens(engine, model, now),
+            longPromptTokens: longPromptThreshold.tokens,
+            findKeptTokens: engine => prefixCache.countKeptTokens(engine, model, now),
             canAsk: state => this.canAsk(state),
         };
         const choice = chooseEngine(options);
--- a/packages/node/test/attempt.test.ts
+++ b/packages/node/test/attempt.test.ts
@@ -15,10 +15,10 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Sends a request to an upstream that never answers. @param onArrival It has come there. */
-async function runUnanswered(
+/** Sends a request to an upstream that never responds. @param onArrival Called when the upstream has the request. */
+async function runUnresponsive(
     kind: Route["kind"],
-    readBeginMs: () => number,
+    readStartLimitMs: () => number,
     timeLeftMs: number,
     onArrival: (attempt: Attempt) => void = () => {},
 ): Promise<AttemptEnd> {
@@ -54,7 +54,7 @@
                     longestPauseMs: 0,
                 },
                 firstByteMs: 60_000,
-                readStartLimitMs: readBeginMs,
+                readStartLimitMs: readStartLimitMs,
                 pauseMs: 60_000,
                 timeLeftMs,
                 readTime,
@@ -79,23 +79,23 @@
     return end;
 }
 
-test("a stream that an engine has not begun is taken back before its version may not begin any more", async () => {
-    const end = await runUnanswered("stream", () => 20, 60_000);
+test("a stream that its engine has not started is withdrawn when the adapter version expires", async () => {
+    const end = await runUnresponsive("stream", () => 20, 60_000);
     assert.is(end.kind, "broken");
     assert.is(end.kind === "broken" && end.reason, "versionReplaced");
 });
 
-test("a stream whose version is replaced only after it was sent is taken back as well", async () => {
-    let beginMs = Infinity;
-    const end = await runUnanswered("stream", () => beginMs, 60_000, attempt => {
-        beginMs = 0;
+test("a stream whose adapter version is replaced after it was sent is withdrawn", async () => {
+    let startLimitMs = Infinity;
+    const end = await runUnresponsive("stream", () => startLimitMs, 60_000, attempt => {
+        startLimitMs = 0;
         attempt.updateStartLimit();
     });
     assert.is(end.kind === "broken" && end.reason, "versionReplaced");
 });
 
-test("a plain request, which does not tell when it begins, is left to its deadline", async () => {
-    const end = await runUnanswered("safe", () => 20, 60);
+test("a plain request, whose start is not visible, runs until its deadline although its version expires", async () => {
+    const end = await runUnresponsive("safe", () => 20, 60);
     assert.is(end.kind === "broken" && end.reason, "timeout");
 });
 
--- a/packages/node/test/choosing.test.ts
+++ b/packages/node/test/choosing.test.ts
@@ -22,7 +22,7 @@
     isResumable: false,
 };
 
-/** A chooser with engines that one other VM owns, which answers as it is told to. */
+/** Creates a chooser with engines that one other VM owns. The test replies for that VM in `onMessage`. */
 function createChooser(
     engines: string[],
     onMessage: (message: AdmissionMessage, admissions: Admissions) => void,
@@ -79,7 +79,7 @@
     });
 }
 
-test("an owner that always says at once that it owns nothing lets other work run meanwhile", async () => {
+test("a request whose owner always replies immediately that it owns nothing leaves the event loop free", async () => {
     const { chooser } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type === "admit") {
             admissions.receiveAnswer("owner", { kind: "notOwned", ticket: message.request.ticket });
@@ -93,7 +93,7 @@
     assert.ok(turns > 0);
 });
 
-test("a request that waits compares engines once for news of many owners", async () => {
+test("a waiting request compares engines once for a burst of engine status messages", async () => {
     const { chooser, view, counts } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
             admissions.receiveAnswer("owner", { kind: "admitted", ticket: message.request.ticket, version: 3 });
@@ -103,7 +103,7 @@
     const ready = chooser.chooseReady(createRequest(6000));
     for (let news = 0; news < 30; news += 1) {
         chooser.receiveEngineStatus();
-        // Whatever the news wake has run before the next ones, but no timer has.
+        // All promise callbacks run before the next message, but no timer does.
         for (let step = 0; step < 20; step += 1) {
             await Promise.resolve();
         }
@@ -115,7 +115,7 @@
     assert.is(counts.choices, 2);
 });
 
-test("a request that one engine declines is let in by another one, and refused only once the best has declined", async () => {
+test("a request that one engine declines is admitted by another, and refused once the best one has declined", async () => {
     const asked: string[] = [];
     const { chooser } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type !== "admit") {
@@ -148,7 +148,7 @@
     assert.ok(job.expectedAt! - job.startedAt > 8000);
 });
 
-test("a request whose engine is busier than its VM knew goes to another one, and takes an engine as it is after four times", async () => {
+test("a request whose engine is busier than expected is redirected, and after four times accepts any load", async () => {
     const asked: { engine: string; expectedQueueMs: number | undefined; }[] = [];
     const load = { active: 9, backlogTokens: 90_000, kvTokens: 90_000, longAnswers: 0, largestPrompt: 9000 };
     const { chooser, view } = createChooser(["e1", "e2"], (message, admissions) => {
@@ -173,7 +173,7 @@
     assert.is(view.readLoad("e2").backlogTokens, 90_000);
 });
 
-test("a request that an adapter must be loaded for asks for the newest version, not for one that would begin too late", async () => {
+test("a request that needs a load asks for the newest version, not for one that would start too late", async () => {
     const { chooser, messages, view } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
             admissions.receiveAnswer("owner", { kind: "admitted", ticket: message.request.ticket, version: 2 });
@@ -187,7 +187,7 @@
     assert.equal(messages.flatMap(message => message.type === "admit" ? [message.request.version] : []), [2]);
 });
 
-test("an owner that does not answer is left for an engine that holds the adapter", async () => {
+test("a request whose owner does not reply is sent without admission to an engine with the adapter", async () => {
     const { chooser, messages, view } = createChooser(["e1"], () => {});
     const news = view.findUpstream("e1")!.news!;
     view.updateNews("owner", { ...news, revision: 2, held: { "base/a1": 4 } }, performance.now());
@@ -196,7 +196,7 @@
     assert.equal(messages.map(message => message.type), ["admit", "ended"]);
 });
 
-test("a VM that was suspended judges versions by time that went on meanwhile", async () => {
+test("a VM that was suspended counts the time of its suspension when it checks versions", async () => {
     let bootAheadMs = 0;
     const versions: (number | undefined)[] = [];
     const { chooser, view } = createChooser(["e1"], (message, admissions) => {
@@ -211,7 +211,7 @@
     await chooser.chooseReady(createRequest(100));
     assert.equal(versions, [undefined]);
     bootAheadMs = 10_000;
-    // The owner may order nothing, so that only what is loaded could be chosen.
+    // The owner may not send orders, so only a loaded version can be chosen.
     assert.is(await chooser.chooseReady(createRequest(100)), undefined);
     assert.equal(versions, [undefined]);
     view.updateNews("owner", { ...news, revision: 3, held: { "base/a1": 1 } }, performance.now());
@@ -219,7 +219,7 @@
     assert.equal(versions, [undefined, 2]);
 });
 
-test("an owner's word for a version that this VM knows to be replaced for good is not followed", async () => {
+test("an admission with a version that this VM knows to have expired is not used", async () => {
     const named: number[] = [];
     const { chooser, view } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
--- a/packages/node/test/leaving.test.ts
+++ b/packages/node/test/leaving.test.ts
@@ -1,16 +1,11 @@
 /**
- * What users saw (issue 24): a draft was sent at 24.134 s and reached an engine at 27.757 s, 2.3 s after the store had
- * acknowledged that the engine leaves; 2 s are allowed. It was served, but an engine may be gone by then.
+ * Guards against requests that are sent to an engine after the store has acknowledged that it is leaving; 2 s are
+ * allowed.
  *
- * Order of events: the request joins the engine's queue, since its adapter must be loaded; the engine says that it leaves
- * (25.408 s); every VM knows it 0.17 s later and sends it nothing new; its owner goes on ordering the load, which ends at
- * 27.754 s, and lets the request in; its VM sends it at once.
- *
- * Cause: whether an engine leaves was asked only when it was chosen. Neither the owner, nor the VM once it was let in, nor
- * the send looked again.
- *
- * Evidence: armor-partage, mix, seed 447410918071 on e327b8c broke the rule in each of three plays. With lines that tell how
- * long a leaving is known, two such requests were sent 2629 and 2614 ms after their VM had learned of it.
+ * The failure: a request waits in the queue of an engine that must load the adapter. The engine announces that it is
+ * leaving, and all VMs learn it 0.17 s later, but the owner continues the load, admits the request 2.3 s after the
+ * announcement, and the request's VM sends it. Whether an engine is leaving was checked only when it was chosen, not by
+ * the owner, nor after the admission, nor when the request was written.
  */
 import { type AdmissionAnswer, FleetView, KeptParts, PauseThreshold, type Upstream } from "@radishreel/fleet";
 import type { Route } from "@radishreel/routing";
@@ -42,7 +37,7 @@
 
 const readSteady = () => performance.now();
 
-/** A request that needs an adapter which no engine holds. */
+/** Creates a request that needs an adapter which no engine holds. */
 function createRequest(): Job {
     const caller = { hasLeft: false, left: new Promise<undefined>(() => {}) } as CallerExchange;
     const model = { model: "base", adapter: "a1", promptTokens: 100, outputTokens: 10, parts: [] };
@@ -59,7 +54,7 @@
     });
 }
 
-/** A request that waits at engine e1; what its VM has sent to owners, and how they answer, are the test's. */
+/** Starts a request that waits for admission at engine e1; engine e2, which is added later, admits immediately. */
 function createWaiting() {
     const view = new FleetView();
     const addEngine = (id: string): void => {
@@ -99,36 +94,36 @@
     });
     const ready = chooser.chooseReady(createRequest());
     const asked = sent.find(message => message.type === "admit")!;
-    // From now on another engine could take it, and e1 is known to leave.
+    // From now on engine e2 can take the request; `leave` announces that e1 is leaving.
     addEngine("e2");
     const leave = (): void => view.updateUpstream(createUpstream("e1", { isLeaving: true }), readSteady());
     return { view, admissions, sent, ready, ticket: asked.request.ticket, leave };
 }
 
-test("a request that is let in at an engine which leaves by now goes to another one", async () => {
+test("a request that is admitted at an engine which is leaving by then goes to another engine", async () => {
     const { admissions, sent, ready, ticket, leave } = createWaiting();
     leave();
-    // Its owner does not know yet.
+    // The owner of e1 does not know yet that e1 is leaving.
     admissions.receiveAnswer("owner", { kind: "admitted", ticket, version: 1 });
     assert.is((await ready)?.choice.state.upstream.id, "e2");
     assert.ok(sent.some(message => message.type === "ended" && message.ticket === ticket));
 });
 
-test("a request that is let in at an engine whose entry is gone by now goes to another one", async () => {
+test("a request that is admitted at an engine which is deregistered by then goes to another engine", async () => {
     const { view, admissions, ready, ticket } = createWaiting();
     view.removeUpstream("e1");
     admissions.receiveAnswer("owner", { kind: "admitted", ticket, version: 1 });
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
 
-test("a request that waits at an engine which leaves by now goes to another one without its owner's word", async () => {
+test("a request that waits at a leaving engine goes to another engine without a reply of the owner", async () => {
     const { sent, ready, ticket, leave } = createWaiting();
     leave();
     assert.is((await ready)?.choice.state.upstream.id, "e2");
     assert.ok(sent.some(message => message.type === "ended" && message.ticket === ticket));
 });
 
-/** The owner of engine e1, whose reports come when the test says so. */
+/** Creates the owner of engine e1. The test decides when the engine's report arrives. */
 function createOwner() {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
@@ -176,13 +171,13 @@
     };
 }
 
-test("the owner of an engine that leaves declines what waits and what comes, and orders nothing more", async () => {
+test("the owner of a leaving engine declines waiting and new requests and sends no more orders", async () => {
     const { view, engines, answers, orders, ask, report } = createOwner();
     ask(1);
     view.updateUpstream(createUpstream("e1", { isLeaving: true }), 0);
     engines.update(() => true);
     ask(2);
-    // A VM that does not know yet wants a newer version there.
+    // A VM that does not know yet that e1 is leaving requests a newer version there.
     engines.prepare("e1", { key: "base/a2", version: 2, runMs: 0, onTimeMs: 0 });
     await report();
     engines.stop();
@@ -190,7 +185,7 @@
     assert.equal(orders, []);
 });
 
-test("the owner of an engine that stays orders what waits", async () => {
+test("the owner of an engine that is not leaving orders the load for a waiting request", async () => {
     const { engines, answers, orders, ask, report } = createOwner();
     ask(1);
     await report();
@@ -199,14 +194,14 @@
     assert.equal(orders, ["load a1"]);
 });
 
-/** What a VM may learn of an upstream while it opens a connection to it. */
-const news: Record<string, (upstream: Upstream) => ClusterChange> = {
+/** Changes that a VM may learn about an upstream while it opens a connection to it. */
+const changes: Record<string, (upstream: Upstream) => ClusterChange> = {
     leaves: upstream => ({ kind: "upstream", upstream: { ...upstream, isLeaving: true }, position: 9 }),
     "is gone": upstream => ({ kind: "upstreamGone", name: upstream.name, position: 9 }),
 };
 
-for (const [what, createChange] of Object.entries(news)) {
-    test(`nothing is written to an upstream that ${what} once its connection is open`, async () => {
+for (const [what, createChange] of Object.entries(changes)) {
+    test(`nothing is written to an upstream that ${what} before its connection is open`, async () => {
         const { status, text, reached, first } = await serveWhileChanging({ createChange });
         assert.equal([status, text], [200, "whole"]);
         assert.equal(reached, ["s1", "s2"].filter(id => id !== first));
--- a/packages/node/test/rests.test.ts
+++ b/packages/node/test/rests.test.ts
@@ -25,7 +25,7 @@
     isResumable: false,
 };
 
-test("nothing is written to an upstream that has asked for rest once its connection is open", async () => {
+test("nothing is written to an upstream that requests backoff before its connection is open", async () => {
     const { status, reached, first } = await serveWhileChanging({
         onOpening: (view, upstream) => view.rests.record(upstream, 60_000, readSteady()),
     });
@@ -33,7 +33,7 @@
     assert.equal(reached, ["s1", "s2"].filter(id => id !== first));
 });
 
-/** A request that waits at engine e1, which its owner expects to let it in after 200 ms; e2 comes later. */
+/** Starts a request that waits at engine e1, whose owner expects to admit it after 200 ms. Engine e2 is added later. */
 function createWaiting() {
     const view = new FleetView();
     const addEngine = (id: string): void => {
@@ -91,7 +91,7 @@
     return { view, admissions, ready, ticket: asked.request.ticket, addEngine };
 }
 
-test("a request that is let in at an engine which rests for its VM by now goes to another one", async () => {
+test("a request that is admitted at an engine which backs off from its VM by then goes to another engine", async () => {
     const { view, admissions, ready, ticket, addEngine } = createWaiting();
     view.rests.record("e1", 60_000, readSteady());
     addEngine("e2");
@@ -99,14 +99,14 @@
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
 
-test("a request that waits at an engine which rests for longer than it waits there goes to another one", async () => {
+test("a request that waits at an engine whose backoff exceeds the expected wait goes to another engine", async () => {
     const { view, ready, addEngine } = createWaiting();
     view.rests.record("e1", 60_000, readSteady());
     addEngine("e2");
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
 
-test("an engine that rests for one VM is no failed one: it is chosen again at the end, and is usable all the time", async () => {
+test("an engine that backs off from one VM stays usable and is chosen again when the backoff ends", async () => {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
     view.rests.record("e1", 3000, 0);
--- a/packages/node/test/versionengine.ts
+++ b/packages/node/test/versionengine.ts
@@ -10,44 +10,44 @@
 /** The base model of all engines. */
 export const model = "base";
 
-/** Adapter places of an engine. */
-export const adapterPlaces = 4;
+/** Number of adapter slots of an engine. */
+export const adapterSlots = 4;
 
-/** Time of a load, in milliseconds. */
+/** Duration of a load, in milliseconds. */
 const loadMs = 250;
 
-/** A request as it comes to an engine. */
+/** A request as it arrives at an engine. */
 export interface EngineRequest {
     readonly vm: string;
     readonly key: string;
-    /** Version that must answer; undefined if none is named. */
+    /** Version that must run the request; undefined for any version. */
     readonly version: number | undefined;
     readonly promptTokens: number;
     readonly runMs: number;
-    /** When it was written; Infinity until then. */
+    /** When the request was written; Infinity until then. */
     sentAt: number;
     readonly onRejected: () => void;
-    /** The prompt is read. */
-    readonly onBegin: () => void;
+    /** Called when the engine has read the prompt. */
+    readonly onStart: () => void;
     readonly onEnd: () => void;
 }
 
-/** A request that an engine has begun. */
-export interface BegunRequest {
+/** A request that an engine has started. */
+export interface StartedRequest {
     readonly engine: string;
     readonly request: EngineRequest;
     readonly version: number;
     readonly at: number;
 }
 
-/** An engine that reads prompts one after the other, holds adapters in versions, and carries orders out, some of them late. */
+/** Simulated engine that reads one prompt at a time, holds versions of adapters, and carries out orders. */
 export class VersionEngine {
     sequence = 0;
-    /** Factor on all of its times. */
-    slowness = 1;
+    /** Factor on all durations of the engine. */
+    slowdownFactor = 1;
     readonly held = new Map<string, number>();
-    private readonly coming = new Map<string, { readonly version: number; readonly at: number; }>();
-    private readonly going = new Set<string>();
+    private readonly loading = new Map<string, { readonly version: number; readonly at: number; }>();
+    private readonly evicting = new Set<string>();
     private readonly queue: EngineRequest[] = [];
     private readonly running = new Set<EngineRequest>();
     private isReading = false;
@@ -56,12 +56,12 @@
         readonly name: string,
         private readonly schedule: Schedule,
         private readonly findNewest: (key: string) => number,
-        private readonly onBegun: (begun: BegunRequest) => void,
+        private readonly onStarted: (started: StartedRequest) => void,
     ) {}
 
     receive(request: EngineRequest): void {
         const held = this.held.get(request.key);
-        if (held === undefined || this.going.has(request.key) || (request.version ?? held) !== held) {
+        if (held === undefined || this.evicting.has(request.key) || (request.version ?? held) !== held) {
             request.onRejected();
             return;
         }
@@ -69,7 +69,7 @@
         this.readNext();
     }
 
-    /** Its caller has gone, or it is taken back. */
+    /** Cancels a request whose caller has left or which was withdrawn. */
     cancel(request: EngineRequest): void {
         this.running.delete(request);
         const index = this.queue.indexOf(request);
@@ -80,7 +80,7 @@
 
     apply(order: EngineOrder): OrderAnswer {
         const key = formatAdapterKey(order.model, order.adapter!);
-        const known = this.findKnown(order, key);
+        const known = this.findRepeatedOutcome(order, key);
         if (known !== undefined) {
             return known;
         }
@@ -89,27 +89,27 @@
         }
         this.sequence += 1;
         if (order.action === "unload") {
-            this.going.add(key);
+            this.evicting.add(key);
         }
         else {
             const version = order.version ?? this.findNewest(key);
-            this.coming.set(key, { version, at: this.schedule.now + loadMs * this.slowness });
+            this.loading.set(key, { version, at: this.schedule.now + loadMs * this.slowdownFactor });
         }
         this.advance();
-        return this.findKnown(order, key) ?? "accepted";
+        return this.findRepeatedOutcome(order, key) ?? "accepted";
     }
 
-    /** Ends what is due: unloads and replacements wait for the runs of their adapter. */
+    /** Completes due unloads and loads; they wait until no request uses their adapter. */
     advance(): void {
-        for (const key of this.going) {
+        for (const key of this.evicting) {
             if (!this.isInUse(key)) {
-                this.going.delete(key);
+                this.evicting.delete(key);
                 this.held.delete(key);
             }
         }
-        for (const [key, { version, at }] of this.coming) {
+        for (const [key, { version, at }] of this.loading) {
             if (at <= this.schedule.now && !this.isInUse(key)) {
-                this.coming.delete(key);
+                this.loading.delete(key);
                 this.held.set(key, version);
             }
         }
@@ -119,19 +119,19 @@
         const adapters = [...this.held].map(([key, version]) => ({ name: key.split("/")[1]!, version }));
         return {
             models: [{ name: model, version: 1, adapters }],
-            coming: [...this.coming.keys()],
+            coming: [...this.loading.keys()],
             sequence: this.sequence,
             isBusy: false,
         };
     }
 
-    private findKnown(order: EngineOrder, key: string): OrderAnswer | undefined {
+    private findRepeatedOutcome(order: EngineOrder, key: string): OrderAnswer | undefined {
         const held = this.held.get(key);
         if (order.action === "unload") {
-            return this.going.has(key) ? "accepted" : held === undefined ? "holds" : undefined;
+            return this.evicting.has(key) ? "accepted" : held === undefined ? "holds" : undefined;
         }
         const version = order.version ?? this.findNewest(key);
-        if (this.coming.get(key)?.version === version) {
+        if (this.loading.get(key)?.version === version) {
             return "accepted";
         }
         return held === version ? "holds" : undefined;
@@ -149,12 +149,12 @@
         }
         this.isReading = true;
         this.running.add(next);
-        this.onBegun({ engine: this.name, request: next, version: this.held.get(next.key)!, at: this.schedule.now });
-        this.schedule.add(next.promptTokens / prefillTokensPerMs * this.slowness, () => {
+        this.onStarted({ engine: this.name, request: next, version: this.held.get(next.key)!, at: this.schedule.now });
+        this.schedule.add(next.promptTokens / prefillTokensPerMs * this.slowdownFactor, () => {
             this.isReading = false;
             if (this.running.has(next)) {
-                next.onBegin();
-                this.schedule.add(next.runMs * this.slowness, () => this.finish(next));
+                next.onStart();
+                this.schedule.add(next.runMs * this.slowdownFactor, () => this.finish(next));
             }
             this.readNext();
         });
--- a/packages/node/test/versionhistories.test.ts
+++ b/packages/node/test/versionhistories.test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import { type HistoryEntry, type HistoryOptions, type HistoryStep, keys, VersionWorld } from "./versionworld.js";
 
-/** Histories of each kind; more of them are run by hand, with seeds of their own. */
+/** Number of histories per test. `RADISHREEL_HISTORIES` and `RADISHREEL_HISTORY_SEED` set other numbers and seeds. */
 const runs = Number(process.env.RADISHREEL_HISTORIES ?? 15);
 const seed = Number(process.env.RADISHREEL_HISTORY_SEED ?? 1);
 
@@ -21,16 +21,16 @@
 );
 const waitMs = fc.integer({ min: 2, max: 20 }).map(quarters => quarters * 250);
 
-/** Steps one after the other. */
-function createEntries(step: fc.Arbitrary<HistoryStep>): fc.Arbitrary<HistoryEntry[]> {
+/** Creates histories of consecutive steps. */
+function createHistories(step: fc.Arbitrary<HistoryStep>): fc.Arbitrary<HistoryEntry[]> {
     return fc.array(fc.record({ step, waitMs }), { minLength: 3, maxLength: 16 });
 }
 
 const load = { seed: fc.nat(), paceMs: fc.integer({ min: 120, max: 400 }), runMs: fc.integer({ min: 100, max: 1200 }) };
 
-test("no request begins on a version replaced for too long, whatever is disrupted", () => {
+test("no request starts on a version that was replaced too long ago, under any disruption", () => {
     fc.assert(
-        fc.property(createEntries(fc.oneof(name, disruption)), fc.record(load), (entries, options) => {
+        fc.property(createHistories(fc.oneof(name, disruption)), fc.record(load), (entries, options) => {
             const world = new VersionWorld(options);
             world.runHistory(entries);
             world.checkReplaced();
@@ -39,10 +39,10 @@
     );
 });
 
-test("no request begins on a version replaced for too long, beside engines at a fifth of their pace", () => {
+test("no request starts on a version that was replaced too long ago, with engines at a fifth of their speed", () => {
     const slow = fc.record({ kind: fc.constant("slow" as const), engine: fc.nat(keys.length - 1), ms });
     fc.assert(
-        fc.property(createEntries(fc.oneof(name, name, slow)), fc.record(load), (entries, options) => {
+        fc.property(createHistories(fc.oneof(name, name, slow)), fc.record(load), (entries, options) => {
             const world = new VersionWorld(options);
             world.runHistory(entries);
             world.checkReplaced();
@@ -51,10 +51,10 @@
     );
 });
 
-test("while nothing is disrupted each request is served, 3 s after a name by the newest version", () => {
+test("without disruption each request is served, and from 3 s after an announcement by the newest version", () => {
     const calm = { ...load, paceMs: fc.integer({ min: 250, max: 500 }), runMs: fc.integer({ min: 100, max: 600 }) };
     fc.assert(
-        fc.property(createEntries(name), fc.record(calm), (entries, options) => {
+        fc.property(createHistories(name), fc.record(calm), (entries, options) => {
             const world = new VersionWorld(options);
             world.runHistory(entries);
             world.checkReplaced();
@@ -64,25 +64,25 @@
     );
 });
 
-/** Plays a history that once broke the rule. */
-function runAgain(options: HistoryOptions, steps: readonly (readonly [HistoryStep, number])[]): void {
+/** Runs a history in which a request started on a version that was replaced too long ago. */
+function runRegression(options: HistoryOptions, steps: readonly (readonly [HistoryStep, number])[]): void {
     const world = new VersionWorld(options);
     world.runHistory(steps.map(([step, waitMs]) => ({ step, waitMs })));
     world.checkReplaced();
 }
 
-test("a request whose version is replaced while its connection is opened is taken back in time", () => {
-    // It was sent as the newest version, and nothing looked again at when it had to have begun.
-    runAgain({ seed: 672_628_049, paceMs: 60, runMs: 100 }, [
+test("a request whose version is replaced while its connection is opened is withdrawn in time", () => {
+    // The request is sent for the newest version, so its start limit must be updated when a newer one is announced.
+    runRegression({ seed: 672_628_049, paceMs: 60, runMs: 100 }, [
         [{ kind: "slow", engine: 0, ms: 500 }, 1000],
         [{ kind: "name", key: 1 }, 500],
         [{ kind: "name", key: 0 }, 500],
     ]);
 });
 
-test("a request whose version is replaced while it waits at its engine is taken back in time", () => {
-    // The same, in an engine's queue of 5 s.
-    runAgain({ seed: 0, paceMs: 60, runMs: 100 }, [
+test("a request whose version is replaced while it waits at its engine is withdrawn in time", () => {
+    // As above, but the version is replaced while the request waits in an engine's queue for 5 s.
+    runRegression({ seed: 0, paceMs: 60, runMs: 100 }, [
         [{ kind: "freeze", vm: 0, ms: 500 }, 1500],
         [{ kind: "freeze", vm: 0, ms: 500 }, 500],
         [{ kind: "name", key: 0 }, 500],
--- a/packages/node/test/versionowner.ts
+++ b/packages/node/test/versionowner.ts
@@ -6,12 +6,12 @@
     EnginePlaces,
 } from "@radishreel/fleet";
 import { engineService } from "./fixtures.js";
-import { adapterPlaces, type VersionEngine } from "./versionengine.js";
+import { adapterSlots, type VersionEngine } from "./versionengine.js";
 
-/** What becomes of an order on its way. */
+/** Whether an order is answered, its outcome is lost, or the order arrives late. */
 export type OrderFate = "answered" | "answerLost" | "late";
 
-/** Most steps of a plan at one moment. */
+/** Maximum steps of a plan at one moment. */
 const maxSteps = 20;
 
 /** Options of {@link EngineOwner}. */
@@ -23,95 +23,95 @@
     readonly mayUse: (key: string, held: number, oldest: number | undefined) => boolean;
     readonly findNewest: (key: string) => number | undefined;
     readonly readFate: () => OrderFate;
-    /** Has an order carried out later. */
+    /** Schedules an order to be carried out later. */
     readonly delay: (run: () => void) => void;
-    readonly sendAnswer: (vm: string, answer: AdmissionAnswer) => void;
-    readonly sendNews: (news: EngineNews) => void;
+    readonly sendReply: (vm: string, answer: AdmissionAnswer) => void;
+    readonly sendStatus: (news: EngineNews) => void;
 }
 
-/** The owner of one engine: its plan, its queue, and what it tells of it. */
+/** Owner of one simulated engine: plans its adapter slots, admits requests, and sends its status. */
 export class EngineOwner {
-    readonly places: EnginePlaces;
+    readonly slotPlanner: EnginePlaces;
     private readonly admission: EngineAdmission;
     private revision = 0;
-    private lastNews = "";
+    private lastStatusText = "";
 
     constructor(private readonly options: EngineOwnerOptions) {
         const { engine, held, readTime, mayUse, findNewest } = options;
-        this.places = new EnginePlaces({
-            limits: { ...engineService.engine!, adapterPlaces },
+        this.slotPlanner = new EnginePlaces({
+            limits: { ...engineService.engine!, adapterPlaces: adapterSlots },
             models: engine.readReport().models,
             held,
             sequence: 0,
             now: readTime(),
             findNewest,
         });
-        this.admission = new EngineAdmission({ engine: engine.name, places: this.places, mayUse });
+        this.admission = new EngineAdmission({ engine: engine.name, places: this.slotPlanner, mayUse });
     }
 
     ask(vm: string, request: AdmissionRequest): void {
-        this.options.sendAnswer(vm, this.admission.ask(vm, request, this.options.readTime()));
+        this.options.sendReply(vm, this.admission.ask(vm, request, this.options.readTime()));
         this.advance();
     }
 
-    begin(vm: string, ticket: number): void {
+    start(vm: string, ticket: number): void {
         this.admission.begin(vm, ticket);
     }
 
-    end(vm: string, ticket: number): void {
+    finish(vm: string, ticket: number): void {
         this.admission.end(vm, ticket, this.options.readTime());
     }
 
     recordMissing(key: string): void {
-        this.places.recordMissing(key, this.options.readTime());
+        this.slotPlanner.recordMissing(key, this.options.readTime());
     }
 
-    /** Has a version loaded, for nobody in particular. */
+    /** Requests a load of a version that no request waits for. */
     prepare(key: string, version: number, lifeMs?: number): void {
-        this.places.addWant({ key, version, runMs: 0, onTimeMs: 0, lifeMs }, this.options.readTime());
+        this.slotPlanner.addWant({ key, version, runMs: 0, onTimeMs: 0, lifeMs }, this.options.readTime());
     }
 
-    /** Lets in what can be let in, gives the orders that are due, and tells what has changed. */
+    /** Admits requests for which there is room, and sends the orders that are due. */
     advance(): void {
-        const { engine, readTime, sendAnswer } = this.options;
+        const { engine, readTime, sendReply } = this.options;
         const now = readTime();
         engine.advance();
         for (const { vm, answer } of this.admission.advance(now)) {
-            sendAnswer(vm, answer);
+            sendReply(vm, answer);
         }
         for (let steps = 0; steps < maxSteps; steps++) {
-            const step = this.places.decide(now, key => this.admission.countUses(key));
+            const step = this.slotPlanner.decide(now, key => this.admission.countUses(key));
             if (step.kind === "wait") {
                 break;
             }
             if (step.kind === "report") {
-                this.places.applyReport(engine.readReport(), now, now);
+                this.slotPlanner.applyReport(engine.readReport(), now, now);
                 continue;
             }
             const fate = this.options.readFate();
             if (fate === "late") {
                 this.options.delay(() => engine.apply(step.order));
-                this.places.applyAnswer(step.order, "unknown", now);
+                this.slotPlanner.applyAnswer(step.order, "unknown", now);
                 continue;
             }
             const answer = engine.apply(step.order);
-            this.places.applyAnswer(step.order, fate === "answered" ? answer : "unknown", now);
+            this.slotPlanner.applyAnswer(step.order, fate === "answered" ? answer : "unknown", now);
         }
     }
 
-    /** Tells what has changed since the last time. */
+    /** Sends the status of the engine if it has changed since it was last sent. */
     sendChanges(): void {
-        const news = this.createNews();
+        const news = this.createStatus();
         const text = JSON.stringify({ ...news, revision: 0 });
-        if (text !== this.lastNews) {
-            this.lastNews = text;
+        if (text !== this.lastStatusText) {
+            this.lastStatusText = text;
             this.revision += 1;
-            this.options.sendNews(this.createNews());
+            this.options.sendStatus(this.createStatus());
         }
     }
 
-    createNews(): EngineNews {
-        const { places, admission } = this;
+    createStatus(): EngineNews {
+        const { slotPlanner, admission } = this;
         return {
             engine: this.options.engine.name,
             fence: this.options.fence,
@@ -119,11 +119,11 @@
             isOwned: true,
             canOrder: true,
             isReachable: true,
-            held: places.listHeld(),
-            coming: places.listComing(),
+            held: slotPlanner.listHeld(),
+            coming: slotPlanner.listComing(),
             waitMs: Math.round(admission.readNextTurnMs(this.options.readTime())),
-            coldLoadMs: Math.round(places.readLoadMs(false)),
-            warmLoadMs: Math.round(places.readLoadMs(true)),
+            coldLoadMs: Math.round(slotPlanner.readLoadMs(false)),
+            warmLoadMs: Math.round(slotPlanner.readLoadMs(true)),
             load: { ...admission.load },
         };
     }
--- a/packages/node/test/versions.test.ts
+++ b/packages/node/test/versions.test.ts
@@ -14,8 +14,8 @@
     return { kind: "version", key, version, position: version, ageMs };
 }
 
-/** What one VM knows, at a time that the test sets. */
-class KnowingVm {
+/** The versions that one VM knows of, with a clock that the test sets. */
+class LearningVm {
     now = 100_000;
     readonly view = new FleetView();
     readonly cluster = new ClusterState({
@@ -33,24 +33,24 @@
     }
 }
 
-test("a VM that cannot tell when a version was named lets no older one answer, however lately it has learned of it", () => {
-    const vm = new KnowingVm();
+test("a VM that cannot tell when a version was announced stops using older versions as soon as it learns of it", () => {
+    const vm = new LearningVm();
     vm.cluster.applyChanges([createVersion(2)]);
     assert.equal([1, 2].map(version => vm.mayUse(version)), [false, true]);
 });
 
-test("a version that is learned late counts from when it may have been named", () => {
-    const vm = new KnowingVm();
+test("the time limit of an older version counts from the earliest time of the newer one's announcement", () => {
+    const vm = new LearningVm();
     vm.cluster.applyChanges([createVersion(2, 2000)]);
     assert.is(vm.mayUse(1), true);
     vm.now += 600;
     assert.is(vm.mayUse(1), false);
 });
 
-test("the age of a version goes on while it is passed from VM to VM", () => {
-    const [first, second] = [new KnowingVm(), new KnowingVm()];
-    const told = first.cluster.applyChanges([createVersion(2, 300)]);
-    assert.equal(told, [createVersion(2, 300)]);
+test("the age of a version keeps growing while the version is passed from VM to VM", () => {
+    const [first, second] = [new LearningVm(), new LearningVm()];
+    const changes = first.cluster.applyChanges([createVersion(2, 300)]);
+    assert.equal(changes, [createVersion(2, 300)]);
     first.now += 1700;
     const later = first.cluster.listChangesAfter(nothingRead);
     assert.equal(later, [createVersion(2, 2000)]);
@@ -59,26 +59,26 @@
     assert.is(second.mayUse(1), false);
 });
 
-test("a VM that has missed a version counts from it and not from the one after it, whichever it hears of first", () => {
-    const [teller, behind, ahead] = [new KnowingVm(), new KnowingVm(), new KnowingVm()];
-    teller.cluster.applyChanges([createVersion(2, 0)]);
-    teller.now += 4000;
-    teller.cluster.applyChanges([createVersion(3, 0)]);
-    const told = teller.cluster.listChangesAfter(nothingRead);
-    behind.cluster.applyChanges(told);
+test("a VM that missed a version counts from that version and not from the next, whichever it learns of first", () => {
+    const [informed, behind, ahead] = [new LearningVm(), new LearningVm(), new LearningVm()];
+    informed.cluster.applyChanges([createVersion(2, 0)]);
+    informed.now += 4000;
+    informed.cluster.applyChanges([createVersion(3, 0)]);
+    const changes = informed.cluster.listChangesAfter(nothingRead);
+    behind.cluster.applyChanges(changes);
     assert.equal([1, 2].map(version => behind.mayUse(version)), [false, true]);
     ahead.cluster.applyChanges([createVersion(3, 0)]);
     assert.is(ahead.mayUse(1), true);
-    assert.equal(ahead.cluster.applyChanges(told), []);
+    assert.equal(ahead.cluster.applyChanges(changes), []);
     assert.equal([1, 2].map(version => ahead.mayUse(version)), [false, true]);
 });
 
-test("a VM that is told of a newer configuration gets the versions that were named before it as well", () => {
-    const [teller, asker] = [new KnowingVm(), new KnowingVm()];
+test("a VM that is sent a newer configuration also receives the versions that were announced before it", () => {
+    const [informed, asker] = [new LearningVm(), new LearningVm()];
     const routing: ClusterChange = { kind: "routing", routing: plainRouting, position: 5 };
-    teller.cluster.applyChanges([createVersion(2, 300), routing]);
+    informed.cluster.applyChanges([createVersion(2, 300), routing]);
     const sent: PeerMessage[] = [];
-    const guard = createAccountGuard(teller.cluster, { send: (_vm, message) => sent.push(message) > 0 });
+    const guard = createAccountGuard(informed.cluster, { send: (_vm, message) => sent.push(message) > 0 });
     guard.receiveMessage("asker", { type: "confirmQuery", query: 1, position: -1 });
     asker.cluster.applyChanges(sent.flatMap(message => message.type === "changes" ? message.changes : []));
     assert.is(asker.cluster.isComplete, false);
@@ -86,14 +86,14 @@
     assert.is(asker.view.versions.findNewest(key)?.version, 2);
 });
 
-/** Two engines that hold an adapter in its first and in its second version. */
+/** Two engines, one of which holds the first version of an adapter and one the second. */
 const changingEngines = {
     routing: { ...plainRouting, services: [{ ...engineService, name: "desk" }] },
     model: { model: "base", adapter: "a1", promptTokens: 100, outputTokens: 10, parts: [] },
     models: [1, 2].map(version => [{ name: "base", version: 1, adapters: [{ name: "a1", version }] }]),
 };
 
-test("nothing is written for a version that is replaced for good while the connection to an engine is opened", async () => {
+test("nothing is written for a version that expires while the connection to an engine is opened", async () => {
     const { status, reached, first } = await serveWhileChanging({
         ...changingEngines,
         createChange: () => createVersion(2),
@@ -103,7 +103,7 @@
     assert.equal(reached, ["s2"]);
 });
 
-test("nothing is written for a version whose time ended while the VM was suspended", async () => {
+test("nothing is written for a version that expired while the VM was suspended", async () => {
     const { status, reached, first } = await serveWhileChanging({
         ...changingEngines,
         createChange: () => createVersion(2, 0),
@@ -114,7 +114,7 @@
     assert.equal(reached, ["s2"]);
 });
 
-test("a stream that waits at an engine is taken back when its version is replaced for good meanwhile", async () => {
+test("a stream that waits at an engine is withdrawn when its version expires", async () => {
     const models = [1, 1].map(version => [{ name: "base", version: 1, adapters: [{ name: "a1", version }] }]);
     const { status, text, reached } = await serveWhileChanging({
         routing: {
--- a/packages/node/test/versionstore.ts
+++ b/packages/node/test/versionstore.ts
@@ -1,38 +1,40 @@
 import type { ClusterChange } from "../src/ports.js";
 import type { Schedule } from "./schedule.js";
 
-/** Time for which a read waits for news, and after which one without an answer is given up, in milliseconds. */
+/** How long a read waits for new records, and the time after which a read without a response fails, in milliseconds. */
 export const readWaitMs = 1000;
 const readTimeoutMs = 1700;
 
 const storeDelayMs = 2;
 
-/** A version that the store has acknowledged. */
-export interface NamedRecord {
+/** A version that the store has recorded. */
+export interface VersionRecord {
     readonly key: string;
     readonly version: number;
     readonly position: number;
     readonly at: number;
 }
 
-/** What a VM gets for a read. */
+/** Response to a read. */
 export type ReadAnswer =
     | { readonly kind: "records"; readonly records: readonly ClusterChange[]; readonly end: number; }
-    /** What was to come next is gone. */
+    /** The records at the position were trimmed. */
     | { readonly kind: "trimmed"; }
     | { readonly kind: "failed"; };
 
-/** The store's log of versions: reads wait for news, the store may be away or slow, drop its history, turn VMs away. */
+/**
+ * Simulated log of versions. Reads wait for new records; the store may be unavailable, slow, trimmed, or reject VMs.
+ */
 export class VersionStore {
-    readonly records: NamedRecord[] = [];
-    /** Time by which its answers are late, in milliseconds. */
-    lateMs = 0;
-    isAway = false;
-    readonly turnedAway = new Set<string>();
+    readonly records: VersionRecord[] = [];
+    /** Additional delay of responses, in milliseconds. */
+    extraDelayMs = 0;
+    isUnavailable = false;
+    readonly rejectedVms = new Set<string>();
     private trimmed = 0;
     private readonly waiting = new Set<() => void>();
 
-    constructor(private readonly schedule: Schedule, private readonly reaches: (vm: string) => boolean) {}
+    constructor(private readonly schedule: Schedule, private readonly isReachable: (vm: string) => boolean) {}
 
     append(key: string): void {
         const version = this.findNewest(key) + 1;
@@ -44,27 +46,27 @@
         return this.records.findLast(record => record.key === key)?.version ?? 1;
     }
 
-    /** Drops all records but the newest of each key. */
+    /** Trims the log, so that only the newest record of each key can still be read. */
     removeHistory(): void {
         this.trimmed = this.records.length;
     }
 
-    /** Reads from a position on, or the newest records of all keys. */
+    /** Reads the records from a position on, or the newest record of each key if there is no position. */
     read(vm: string, from: number | undefined, onAnswer: (answer: ReadAnswer) => void): void {
         let isDone = false;
         const askedAt = this.schedule.now;
         const finish = (answer: ReadAnswer): void => {
             if (!isDone) {
                 isDone = true;
-                this.waiting.delete(look);
-                this.schedule.add(storeDelayMs + this.lateMs, () => onAnswer(answer));
+                this.waiting.delete(check);
+                this.schedule.add(storeDelayMs + this.extraDelayMs, () => onAnswer(answer));
             }
         };
-        const look = (): void => {
-            if (this.isAway || !this.reaches(vm)) {
+        const check = (): void => {
+            if (this.isUnavailable || !this.isReachable(vm)) {
                 return;
             }
-            if (this.turnedAway.has(vm)) {
+            if (this.rejectedVms.has(vm)) {
                 finish({ kind: "failed" });
             }
             else if (from !== undefined && from < this.trimmed) {
@@ -74,9 +76,9 @@
                 finish({ kind: "records", records: this.listAfter(from), end: this.records.length });
             }
         };
-        this.waiting.add(look);
-        this.schedule.add(storeDelayMs, look);
-        this.schedule.add(readWaitMs, look);
+        this.waiting.add(check);
+        this.schedule.add(storeDelayMs, check);
+        this.schedule.add(readWaitMs, check);
         this.schedule.add(readTimeoutMs, () => finish({ kind: "failed" }));
     }
 
--- a/packages/node/test/versionvm.ts
+++ b/packages/node/test/versionvm.ts
@@ -19,7 +19,7 @@
 import { readWaitMs } from "./versionstore.js";
 import type { VersionWorld } from "./versionworld.js";
 
-/** Time in which a replaced version may still begin, as the operator sets it, in milliseconds. */
+/** Setting for how long requests may still start on a replaced version, in milliseconds. */
 export const replacedMs = 5000;
 
 const readPauseMs = 60;
@@ -27,34 +27,34 @@
 const pausedCheckMs = 50;
 const housekeepingMs = 250;
 const ownerStepMs = 20;
-const newsIntervalMs = 100;
-const answerTimeoutMs = 180;
-const silencePauseMs = 1000;
-const lookAgainMs = 100;
-const declinedMs = 400;
+const statusIntervalMs = 100;
+const replyTimeoutMs = 180;
+const unresponsivePauseMs = 1000;
+const recheckIntervalMs = 100;
+const declinedPauseMs = 400;
 const rejectedPauseMs = 60;
-const newestDelayMs = 300;
-const preparationMs = 2500;
+const maxNewestDelayMs = 300;
+const preparationLifetimeMs = 2500;
 const maxRedirects = 4;
 const maxRejections = 6;
 
-/** How long a request may take, and until when it must have been sent, in milliseconds. */
+/** Timeout of a request, and time after which it is no longer sent, in milliseconds. */
 const timeoutMs = 12_000;
 const lastSendMs = 6000;
 
-/** A request of a caller. */
+/** A request of a simulated caller. */
 export interface Call {
     readonly key: string;
     readonly promptTokens: number;
     readonly runMs: number;
-    /** Time that the opening of a connection takes, in milliseconds. */
+    /** Time that it takes to open a connection, in milliseconds. */
     readonly openMs: number;
-    /** When it came, in the world's time. */
+    /** When the request arrived, in simulated time. */
     readonly arrivedAt: number;
     end: "served" | "refused" | "takenBack" | "timeout" | undefined;
 }
 
-/** A call while it is served. */
+/** State of a call while it is being served. */
 interface OpenCall {
     readonly call: Call;
     readonly startedAt: number;
@@ -63,16 +63,16 @@
     rejections: number;
 }
 
-/** A place of a call at the owner of an engine. */
+/** Identifies an admission request of a call at the owner of an engine. */
 interface Ticket {
     readonly id: number;
     readonly owner: string;
     readonly engine: string;
 }
 
-type AnswerListener = (answer: AdmissionAnswer | "lost") => void;
+type ReplyListener = (answer: AdmissionAnswer | "lost") => void;
 
-/** One process of a VM: what it knows of versions, the engines that it owns, and the requests that it serves. */
+/** One simulated process of a VM, which learns versions, owns engines and serves requests. */
 export class VersionVm {
     isAlive = true;
     frozenUntil = 0;
@@ -81,20 +81,20 @@
     readonly sharing: ChangeSharing;
     private readonly cluster: ClusterState;
     private readonly bootClock: BootClock;
-    private readonly bornAt: number;
+    private readonly processStartedAt: number;
     private frozenMs = 0;
     private isReading = true;
-    private answeredAt = -Infinity;
+    private storeRepliedAt = -Infinity;
     private confirmedAt: number | undefined;
     private backoffMs = 100;
     private tickets = 0;
-    private readonly listeners = new Map<number, { readonly owner: string; readonly receive: AnswerListener; }>();
-    /** Of requests under way: look again at when they are taken back. */
+    private readonly listeners = new Map<number, { readonly owner: string; readonly receive: ReplyListener; }>();
+    /** Functions that update when the running requests are withdrawn. */
     private readonly withdrawals = new Set<() => void>();
-    private readonly silentUntil = new Map<string, number>();
+    private readonly unresponsiveUntil = new Map<string, number>();
 
     constructor(private readonly world: VersionWorld, readonly vm: string) {
-        this.bornAt = world.schedule.now;
+        this.processStartedAt = world.schedule.now;
         const readTime = (): number => this.readTime();
         const log = createSilentLog(readTime);
         this.bootClock = new BootClock({ readSteady: readTime, readWall: () => world.schedule.now });
@@ -127,7 +127,7 @@
             broadcast: message => this.broadcast(message, () => true),
             sendNear: message => this.broadcast(message, other => other[0] === vm[0]),
             listLinked: () => world.listLinked(vm),
-            readStoreQuietMs: () => this.readTime() - this.answeredAt,
+            readStoreQuietMs: () => this.readTime() - this.storeRepliedAt,
             listCrashReports: () => [],
         });
         this.cluster.applyChanges(
@@ -142,7 +142,7 @@
             this.world.claimEngines(this);
         });
         this.runEvery(ownerStepMs, () => this.owned.forEach(owner => owner.advance()));
-        this.runEvery(newsIntervalMs, () => this.owned.forEach(owner => owner.sendChanges()));
+        this.runEvery(statusIntervalMs, () => this.owned.forEach(owner => owner.sendChanges()));
     }
 
     pause(ms: number): void {
@@ -151,7 +151,7 @@
         this.frozenMs += ms;
     }
 
-    /** Runs something in this process: now, or when it runs on. */
+    /** Runs a function in this process: now, or when the process resumes. */
     schedule(run: () => void): void {
         const waitMs = this.frozenUntil - this.world.schedule.now;
         if (waitMs > 0) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Whether it has learned from anybody what the store holds. */
+    /** Whether this process has received the contents of the store, from the store or from another VM. */
     get isComplete(): boolean {
         return this.cluster.readPositions.operator >= 0;
     }
@@ -186,22 +186,22 @@
         }
     }
 
-    receiveNews(from: string, news: EngineNews): void {
+    receiveStatus(from: string, news: EngineNews): void {
         this.view.updateNews(from, news, this.readTime());
     }
 
-    receiveAnswer(answer: AdmissionAnswer): void {
+    receiveReply(answer: AdmissionAnswer): void {
         this.listeners.get(answer.ticket)?.receive(answer);
     }
 
-    /** A link to a VM has closed. */
+    /** Handles a closed link to a VM. */
     removeVm(vm: string): void {
         this.sharing.removeVm(vm);
         this.view.removeVm(vm);
         [...this.listeners.values()].filter(({ owner }) => owner === vm).forEach(({ receive }) => receive("lost"));
     }
 
-    /** Becomes the owner of an engine. */
+    /** Makes this process the owner of an engine. */
     own(name: string, fence: number): void {
         const { world } = this;
         const engine = world.findEngine(name);
@@ -215,17 +215,17 @@
             findNewest: key => this.view.versions.findNewest(key)?.version,
             readFate: () => world.readFate(),
             delay: run => world.scheduleOrder(run),
-            sendAnswer: (vm, answer) => world.sendTo(this.vm, vm, life => life.receiveAnswer(answer)),
-            sendNews: news => this.sendNews(news),
+            sendReply: (vm, answer) => world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveReply(answer)),
+            sendStatus: news => this.sendStatus(news),
         });
         this.owned.set(name, owner);
         owner.sendChanges();
     }
 
-    sendNews(news: EngineNews): void {
-        this.receiveNews(this.vm, news);
+    sendStatus(news: EngineNews): void {
+        this.receiveStatus(this.vm, news);
         for (const vm of this.world.listLinked(this.vm)) {
-            this.world.sendTo(this.vm, vm, life => life.receiveNews(this.vm, news));
+            this.world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveStatus(this.vm, news));
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     private readTime(): number {
-        return this.world.schedule.now - this.frozenMs - this.bornAt;
+        return this.world.schedule.now - this.frozenMs - this.processStartedAt;
     }
 
     private readBoot(): number {
@@ -258,7 +258,7 @@
         this.world.listLinked(this.vm).filter(isMeant).forEach(vm => this.world.sendMessage(this.vm, vm, message));
     }
 
-    /** Reads the store as the platform's reader does: the age of what it reads counts from what it has confirmed before. */
+    /** Reads the store as the platform's reader does: ages of records count from the last confirmed read. */
     private follow(from: number | undefined): void {
         if (from !== undefined && !this.isReading) {
             this.wait(pausedCheckMs, () => this.follow(from));
@@ -274,7 +274,7 @@
                     return;
                 }
                 this.backoffMs = 100;
-                this.answeredAt = this.readTime();
+                this.storeRepliedAt = this.readTime();
                 if (answer.kind === "trimmed") {
                     this.follow(undefined);
                     return;
@@ -297,7 +297,9 @@
         this.sharing.passChanges(fresh);
         for (const change of fresh) {
             if (change.kind === "version") {
-                const holders = [...this.owned.values()].filter(({ places }) => change.key in places.listHeld());
+                const holders = [...this.owned.values()].filter(({ slotPlanner }) =>
+                    change.key in slotPlanner.listHeld()
+                );
                 holders.forEach(owner => owner.prepare(change.key, change.version));
             }
         }
@@ -314,7 +316,7 @@
         }
         const choice = this.choose(open, now);
         if (choice === undefined) {
-            this.wait(lookAgainMs, () => this.runCall(open));
+            this.wait(recheckIntervalMs, () => this.runCall(open));
             return;
         }
         if (this.canAsk(choice.state)) {
@@ -326,18 +328,18 @@
 
     private canAsk({ owner }: UpstreamState): boolean {
         return owner !== undefined && (owner === this.vm || this.world.listLinked(this.vm).includes(owner))
-            && (this.silentUntil.get(owner) ?? -Infinity) <= this.readTime();
+            && (this.unresponsiveUntil.get(owner) ?? -Infinity) <= this.readTime();
     }
 
     private choose({ call, tried }: OpenCall, now: number): UpstreamChoice | undefined {
-        const inForce = [...tried].filter(([, { until }]) => until > now);
+        const active = [...tried].filter(([, { until }]) => until > now);
         const options: EngineChoiceOptions = {
             view: this.view,
             service: engineService,
             dataCentre: this.vm[0]!,
             now,
             bootNow: this.readBoot(),
-            penalties: new Map(inForce.map(([id, { costMs }]) => [id, costMs])),
+            penalties: new Map(active.map(([id, { costMs }]) => [id, costMs])),
             demand: {
                 model,
                 adapter: call.key.split("/")[1],
@@ -355,7 +357,7 @@
             return choice;
         }
         const next = chooseEngine({ ...options, needsNewest: true });
-        if (next?.isReady === true && next.rankMs < choice.rankMs + newestDelayMs) {
+        if (next?.isReady === true && next.rankMs < choice.rankMs + maxNewestDelayMs) {
             return next;
         }
         if (next?.isReady === false && next.state.owner !== undefined) {
@@ -363,7 +365,7 @@
             this.world.sendTo(
                 this.vm,
                 owner,
-                life => life.owned.get(upstream.id)?.prepare(call.key, newest, preparationMs),
+                vmProcess => vmProcess.owned.get(upstream.id)?.prepare(call.key, newest, preparationLifetimeMs),
             );
         }
         return choice;
@@ -375,7 +377,7 @@
         const owner = choice.state.owner!;
         const engine = choice.state.upstream.id;
         const ticket: Ticket = { id, owner, engine };
-        const patienceMs = Math.max(0, open.startedAt + lastSendMs - now);
+        const callerLimitMs = Math.max(0, open.startedAt + lastSendMs - now);
         let hasAnswer = false;
         this.listeners.set(id, {
             owner,
@@ -390,12 +392,12 @@
         const expireAfter = (ms: number, isExpected: () => boolean): void =>
             this.wait(ms, () => {
                 if (this.listeners.has(id) && !isExpected()) {
-                    this.silentUntil.set(owner, hasAnswer ? 0 : this.readTime() + silencePauseMs);
+                    this.unresponsiveUntil.set(owner, hasAnswer ? 0 : this.readTime() + unresponsivePauseMs);
                     this.listeners.get(id)!.receive("lost");
                 }
             });
-        expireAfter(answerTimeoutMs, () => hasAnswer);
-        expireAfter(patienceMs, () => false);
+        expireAfter(replyTimeoutMs, () => hasAnswer);
+        expireAfter(callerLimitMs, () => false);
         const request = {
             ticket: id,
             model,
@@ -406,14 +408,14 @@
             hasLongAnswer: false,
             runMs: call.runMs,
             onTimeMs: 1000 - (now - open.startedAt),
-            patienceMs,
+            patienceMs: callerLimitMs,
             endMs: Math.max(0, open.startedAt + timeoutMs - now),
             expectedQueueMs: open.redirects < maxRedirects ? choice.waitMs : undefined,
         };
-        this.world.sendTo(this.vm, owner, life => {
-            const owned = life.owned.get(engine);
+        this.world.sendTo(this.vm, owner, vmProcess => {
+            const owned = vmProcess.owned.get(engine);
             if (owned === undefined) {
-                this.world.sendTo(life.vm, this.vm, asker => asker.receiveAnswer({ kind: "notOwned", ticket: id }));
+                this.world.sendTo(vmProcess.vm, this.vm, asker => asker.receiveReply({ kind: "notOwned", ticket: id }));
                 return;
             }
             owned.ask(this.vm, request);
@@ -437,7 +439,7 @@
             retry(200, rejectedPauseMs);
         }
         else if (answer.kind === "declined") {
-            retry(answer.expectedMs, declinedMs);
+            retry(answer.expectedMs, declinedPauseMs);
         }
         else if (answer.kind === "busier") {
             open.redirects += 1;
@@ -456,19 +458,19 @@
     private endTicket(ticket: Ticket | undefined): void {
         if (ticket !== undefined) {
             const { owner, engine, id } = ticket;
-            this.world.sendTo(this.vm, owner, life => life.owned.get(engine)?.end(this.vm, id));
+            this.world.sendTo(this.vm, owner, vmProcess => vmProcess.owned.get(engine)?.finish(this.vm, id));
         }
     }
 
-    /** Opens a connection, looks at the version once more, writes, and takes back what may not begin any more. */
+    /** Opens a connection, checks the version again, writes the request, and withdraws it if it can't start in time. */
     private send(open: OpenCall, choice: UpstreamChoice, ticket: Ticket | undefined): void {
         const { call } = open;
         const { versions } = this.view;
         const engine = this.world.findEngine(choice.state.upstream.id);
         const version = choice.version ?? 0;
         const attemptedAt = this.readTime();
-        let isOver = false;
-        let hasBegun = false;
+        let isFinished = false;
+        let hasStarted = false;
         const load: LoadHandle = this.view.addOwnLoad({
             upstream: engine.name,
             backlogTokens: choice.prefillTokens,
@@ -476,15 +478,15 @@
             hasLongAnswer: false,
         }, attemptedAt);
         const finish = (run: () => void): void => {
-            if (!isOver) {
-                isOver = true;
+            if (!isFinished) {
+                isFinished = true;
                 this.withdrawals.delete(updateWithdrawal);
                 load.end();
                 this.endTicket(ticket);
                 run();
             }
         };
-        const tryAgain = (pauseMs: number): void => {
+        const retryLater = (pauseMs: number): void => {
             open.tried.set(engine.name, { costMs: Infinity, until: this.readTime() + pauseMs });
             this.wait(pauseMs + 1, () => this.runCall(open));
         };
@@ -501,14 +503,15 @@
                     open.rejections += 1;
                     const { owner } = choice.state;
                     if (owner !== undefined) {
-                        this.world.sendTo(this.vm, owner, life => life.owned.get(engine.name)?.recordMissing(call.key));
+                        this.world.sendTo(this.vm, owner, vmProcess =>
+                            vmProcess.owned.get(engine.name)?.recordMissing(call.key));
                     }
-                    tryAgain(rejectedPauseMs);
+                    retryLater(rejectedPauseMs);
                 })
             ),
-            onBegin: receive(() => {
-                if (!isOver) {
-                    hasBegun = true;
+            onStart: receive(() => {
+                if (!isFinished) {
+                    hasStarted = true;
                     load.begin();
                     const paceMs = this.readTime() - attemptedAt;
                     choice.state.health.recordPace(paceMs / Math.max(30, choice.costMs));
@@ -516,7 +519,7 @@
                         this.world.sendTo(
                             this.vm,
                             ticket.owner,
-                            life => life.owned.get(engine.name)?.begin(this.vm, ticket.id),
+                            vmProcess => vmProcess.owned.get(engine.name)?.start(this.vm, ticket.id),
                         );
                     }
                 }
@@ -532,13 +535,13 @@
                 call.end = end;
                 this.world.schedule.add(2, () => engine.cancel(request));
             });
-        let looks = 0;
+        let updateCount = 0;
         const updateWithdrawal = (): void => {
-            const look = ++looks;
+            const update = ++updateCount;
             const withdrawMs = versions.readUseEnd(call.key, version) - this.readBoot();
             if (withdrawMs < Infinity) {
                 this.wait(Math.max(0, withdrawMs), () => {
-                    if (look === looks && !hasBegun && request.sentAt < Infinity) {
+                    if (update === updateCount && !hasStarted && request.sentAt < Infinity) {
                         cancel("takenBack");
                     }
                 });
@@ -548,7 +551,7 @@
         updateWithdrawal();
         this.wait(Math.max(0, open.startedAt + timeoutMs - attemptedAt), () => cancel("timeout"));
         this.wait(call.openMs, () => {
-            if (isOver) {
+            if (isFinished) {
                 return;
             }
             if (this.world.isCutOff(this.vm) || !versions.mayUse(call.key, version, this.readBoot())) {
--- a/packages/node/test/versionworld.ts
+++ b/packages/node/test/versionworld.ts
@@ -1,45 +1,45 @@
 import * as assert from "uvu/assert";
 import type { PeerMessage } from "../src/links/messages.js";
 import { Schedule } from "./schedule.js";
-import { type BegunRequest, VersionEngine } from "./versionengine.js";
+import { type StartedRequest, VersionEngine } from "./versionengine.js";
 import type { OrderFate } from "./versionowner.js";
 import { VersionStore } from "./versionstore.js";
 import { type Call, replacedMs, VersionVm } from "./versionvm.js";
 
-/** Time without disruption after which the store is stable and a VM in touch, in milliseconds. */
+/** Time without disruption after which the store counts as stable and a VM as connected, in milliseconds. */
 const stableWindowMs = 4000;
 
 const linkDelayMs = 2;
 const linkSilenceMs = 1500;
 const linkBackoffMs = 500;
 
-/** How long an engine whose owner has gone is without one, in milliseconds. */
-const ownerPauseMs = 1500;
+/** How long an engine has no owner after its owner is gone, in milliseconds. */
+const ownerGapMs = 1500;
 
-/** Part of the orders that are late, or whose answer is lost, while they may be. */
-const lateShare = 0.4;
-const lostShare = 0.2;
+/** Shares of orders that are late or whose outcome is lost during a `lateOrders` step. */
+const lateOrderShare = 0.4;
+const lostOutcomeShare = 0.2;
 
-/** Time by which a late order is late, in milliseconds. */
+/** Minimum delay of a late order and the range of additional delay, in milliseconds. */
 const minOrderDelayMs = 2000;
 const orderDelaySpanMs = 6000;
 
-/** Names of the adapters that are asked for, most often first. */
+/** Keys of the requested adapters, the most frequent first. */
 export const keys = ["base/a1", "base/a2", "base/a3"];
 
 const dataCentres = { a: 3, b: 2 };
 const engineNames = ["e1", "e2", "e3"];
 
-/** A span of time in which something was disrupted. */
+/** A period in which the store, a link or a VM was disrupted. */
 interface Disruption {
     readonly what: "store" | "link" | "vm";
-    /** The VM that was disrupted. */
+    /** The VM that was disrupted; undefined for the store. */
     readonly vm: string | undefined;
     readonly from: number;
     readonly until: number;
 }
 
-/** What happens in a history. */
+/** One step of a history. */
 export type HistoryStep =
     | { readonly kind: "name"; readonly key: number; }
     | { readonly kind: "freeze" | "kill" | "cut" | "turnAway"; readonly vm: number; readonly ms: number; }
@@ -53,12 +53,12 @@
     readonly waitMs: number;
 }
 
-/** What a history starts from. */
+/** Options of a history. */
 export interface HistoryOptions {
     readonly seed: number;
-    /** Pause between two requests at one VM, in milliseconds. @default 150 */
+    /** Average time between two requests at one VM, in milliseconds. @default 150 */
     readonly paceMs?: number;
-    /** Time of a run at the engine's usual pace, in milliseconds. @default 400 */
+    /** Average duration of a run on an engine that is not slowed, in milliseconds. @default 400 */
     readonly runMs?: number;
 }
 
@@ -69,7 +69,7 @@
     held: (() => void)[];
 }
 
-/** VMs in two data centres, engines, a store that names versions, and callers, in simulated time. */
+/** VMs in two data centres, engines, a store that announces versions, and callers, in simulated time. */
 export class VersionWorld {
     readonly schedule = new Schedule();
     readonly vms = Object.entries(dataCentres).flatMap(([name, count]) =>
@@ -78,24 +78,29 @@
     readonly engines: VersionEngine[];
     readonly store: VersionStore;
     readonly calls: Call[] = [];
-    readonly begun: BegunRequest[] = [];
-    private readonly lives = new Map<string, VersionVm>();
+    readonly startedRequests: StartedRequest[] = [];
+    private readonly processes = new Map<string, VersionVm>();
     private readonly links = new Map<string, Link>();
     private readonly cutOff = new Set<string>();
     private readonly disruptions: Disruption[] = [];
     private readonly owners = new Map<string, { vm: string; fence: number; lostAt: number | undefined; }>();
-    private ordersLateUntil = -Infinity;
+    private delayOrdersUntil = -Infinity;
     private randomState: number;
 
     constructor(private readonly options: HistoryOptions) {
         this.randomState = options.seed;
         this.store = new VersionStore(this.schedule, vm => !this.cutOff.has(vm));
         this.engines = engineNames.map(name =>
-            new VersionEngine(name, this.schedule, key => this.store.findNewest(key), begun => this.begun.push(begun))
+            new VersionEngine(
+                name,
+                this.schedule,
+                key => this.store.findNewest(key),
+                started => this.startedRequests.push(started),
+            )
         );
     }
 
-    /** Starts all VMs and callers, and plays a history. */
+    /** Starts all VMs and callers, and runs a history. */
     runHistory(entries: readonly HistoryEntry[], restMs = 8000): void {
         this.store.append("base/other");
         this.vms.forEach(vm => this.startVm(vm));
@@ -115,8 +120,8 @@
     }
 
     readFate(): OrderFate {
-        const draw = this.schedule.now < this.ordersLateUntil ? this.readRandom() : 1;
-        return draw < lateShare ? "late" : draw < lateShare + lostShare ? "answerLost" : "answered";
+        const draw = this.schedule.now < this.delayOrdersUntil ? this.readRandom() : 1;
+        return draw < lateOrderShare ? "late" : draw < lateOrderShare + lostOutcomeShare ? "answerLost" : "answered";
     }
 
     scheduleOrder(run: () => void): void {
@@ -132,18 +137,18 @@
     }
 
     listLinked(vm: string): string[] {
-        return this.vms.filter(other => other !== vm && this.findLink(vm, other).isOpen && this.lives.has(other));
+        return this.vms.filter(other => other !== vm && this.findLink(vm, other).isOpen && this.processes.has(other));
     }
 
     sendMessage(from: string, to: string, message: PeerMessage): void {
-        // What is sent is what was known then.
+        // The message must keep the state at the time of sending.
         const copy = structuredClone(message);
-        this.sendTo(from, to, life => life.receive(from, copy));
+        this.sendTo(from, to, vmProcess => vmProcess.receive(from, copy));
     }
 
-    /** Has something happen at a VM, once word of it has come there. */
-    sendTo(from: string, to: string, run: (life: VersionVm) => void): void {
-        const target = this.lives.get(to);
+    /** Runs a function at a VM after the delay of a message to it. */
+    sendTo(from: string, to: string, run: (vmProcess: VersionVm) => void): void {
+        const target = this.processes.get(to);
         if (target === undefined) {
             return;
         }
@@ -164,17 +169,17 @@
         }
     }
 
-    /** Engines belong to the first VM that is there; one whose owner has gone gets another one after some time. */
-    claimEngines(life: VersionVm): void {
+    /** Lets a VM own its initial engine, and engines whose owners have been gone for long enough. */
+    claimEngines(vmProcess: VersionVm): void {
         const { now } = this.schedule;
         for (const [index, name] of engineNames.entries()) {
             const owner = this.owners.get(name);
-            const isFree = owner === undefined || (owner.lostAt !== undefined && now - owner.lostAt >= ownerPauseMs);
-            const isTurn = owner !== undefined || this.vms[index] === life.vm;
-            if (isFree && isTurn && life.isComplete) {
+            const isFree = owner === undefined || (owner.lostAt !== undefined && now - owner.lostAt >= ownerGapMs);
+            const isTurn = owner !== undefined || this.vms[index] === vmProcess.vm;
+            if (isFree && isTurn && vmProcess.isComplete) {
                 const fence = (owner?.fence ?? 0) + 1;
-                this.owners.set(name, { vm: life.vm, fence, lostAt: undefined });
-                life.own(name, fence);
+                this.owners.set(name, { vm: vmProcess.vm, fence, lostAt: undefined });
+                vmProcess.own(name, fence);
             }
         }
     }
@@ -201,25 +206,25 @@
                 this.refuseVm(this.vms[step.vm]!, step.ms);
                 return;
             case "storeAway":
-                this.store.isAway = true;
+                this.store.isUnavailable = true;
                 this.addDisruption("store", undefined, step.ms);
-                this.schedule.add(step.ms, () => this.store.isAway = false);
+                this.schedule.add(step.ms, () => this.store.isUnavailable = false);
                 return;
             case "storeLate":
-                this.store.lateMs = 300;
+                this.store.extraDelayMs = 300;
                 this.addDisruption("store", undefined, step.ms);
-                this.schedule.add(step.ms, () => this.store.lateMs = 0);
+                this.schedule.add(step.ms, () => this.store.extraDelayMs = 0);
                 return;
             case "trim":
                 this.store.removeHistory();
                 return;
             case "lateOrders":
-                this.ordersLateUntil = now + step.ms;
+                this.delayOrdersUntil = now + step.ms;
                 return;
             case "slow": {
                 const engine = this.engines[step.engine]!;
-                engine.slowness = 5;
-                this.schedule.add(step.ms, () => engine.slowness = 1);
+                engine.slowdownFactor = 5;
+                this.schedule.add(step.ms, () => engine.slowdownFactor = 1);
                 return;
             }
             case "calm":
@@ -234,25 +239,25 @@
     }
 
     private startVm(vm: string): void {
-        const life = new VersionVm(this, vm);
-        this.lives.set(vm, life);
+        const vmProcess = new VersionVm(this, vm);
+        this.processes.set(vm, vmProcess);
         this.addDisruption("vm", vm, 0);
-        life.start();
+        vmProcess.start();
         this.vms.filter(other => other !== vm).forEach(other => this.openLink(vm, other));
     }
 
     private pauseVm(vm: string, ms: number): void {
-        this.lives.get(vm)?.pause(ms);
+        this.processes.get(vm)?.pause(ms);
         this.addDisruption("vm", vm, ms);
     }
 
     private kill(vm: string, downMs: number): void {
-        const life = this.lives.get(vm);
-        if (life === undefined) {
+        const vmProcess = this.processes.get(vm);
+        if (vmProcess === undefined) {
             return;
         }
-        life.isAlive = false;
-        this.lives.delete(vm);
+        vmProcess.isAlive = false;
+        this.processes.delete(vm);
         this.addDisruption("vm", vm, downMs);
         this.vms.filter(other => other !== vm).forEach(other => this.closeLink(vm, other));
         for (const owner of this.owners.values()) {
@@ -263,7 +268,7 @@
         this.schedule.add(downMs, () => this.startVm(vm));
     }
 
-    /** Cuts a VM off from all others, from the store and from the engines. */
+    /** Disconnects a VM from all other VMs, from the store and from the engines. */
     private closeLinks(vm: string, ms: number): void {
         if (this.cutOff.has(vm)) {
             return;
@@ -292,22 +297,22 @@
     }
 
     private refuseVm(vm: string, ms: number): void {
-        this.store.turnedAway.add(vm);
-        this.schedule.add(ms, () => this.store.turnedAway.delete(vm));
+        this.store.rejectedVms.add(vm);
+        this.schedule.add(ms, () => this.store.rejectedVms.delete(vm));
     }
 
     private openLink(one: string, other: string): void {
         const link = this.findLink(one, other);
-        if (link.isOpen || link.isCut || !this.lives.has(one) || !this.lives.has(other)) {
+        if (link.isOpen || link.isCut || !this.processes.has(one) || !this.processes.has(other)) {
             return;
         }
         link.isOpen = true;
         for (const [from, to] of [[one, other], [other, one]] as const) {
-            const life = this.lives.get(from)!;
-            life.schedule(() => {
-                life.sharing.createGreeting(to).forEach(message => this.sendMessage(from, to, message));
-                life.owned.forEach(owner =>
-                    this.sendTo(from, to, target => target.receiveNews(from, owner.createNews()))
+            const vmProcess = this.processes.get(from)!;
+            vmProcess.schedule(() => {
+                vmProcess.sharing.createGreeting(to).forEach(message => this.sendMessage(from, to, message));
+                vmProcess.owned.forEach(owner =>
+                    this.sendTo(from, to, target => target.receiveStatus(from, owner.createStatus()))
                 );
             });
         }
@@ -320,7 +325,7 @@
             return;
         }
         link.isOpen = false;
-        const [first, second] = [this.lives.get(one), this.lives.get(other)];
+        const [first, second] = [this.processes.get(one), this.processes.get(other)];
         first?.schedule(() => first.removeVm(other));
         second?.schedule(() => second.removeVm(one));
     }
@@ -332,7 +337,7 @@
         return link;
     }
 
-    /** Sends a VM requests at its pace. */
+    /** Schedules the next request at a VM, and further ones after it. */
     private scheduleCall(vm: string): void {
         const { paceMs = 150, runMs = 400 } = this.options;
         this.schedule.add(paceMs * (0.5 + this.readRandom()), () => {
@@ -345,42 +350,42 @@
                 arrivedAt: this.schedule.now,
                 end: undefined,
             };
-            const life = this.lives.get(vm);
-            if (life !== undefined) {
+            const vmProcess = this.processes.get(vm);
+            if (vmProcess !== undefined) {
                 this.calls.push(call);
-                life.schedule(() => life.serve(call));
+                vmProcess.schedule(() => vmProcess.serve(call));
             }
             this.scheduleCall(vm);
         });
     }
 
-    /** No request begins on a version that has been replaced for longer than allowed, as far as the rule counts the time. */
+    /** Checks that no request started on a version whose time since the replacement counts as longer than allowed. */
     checkReplaced(): void {
-        for (const begun of this.begun) {
-            const replacedAt = this.findReplacedAt(begun.request.key, begun.version);
-            const since = replacedAt === undefined ? Infinity : this.findStretch(replacedAt, begun);
-            if (begun.at - since > replacedMs) {
-                const { vm, key, sentAt, version } = begun.request;
+        for (const started of this.startedRequests) {
+            const replacedAt = this.findReplacedAt(started.request.key, started.version);
+            const since = replacedAt === undefined ? Infinity : this.findCountedSince(replacedAt, started);
+            if (started.at - since > replacedMs) {
+                const { vm, key, sentAt, version } = started.request;
                 assert.unreachable(
-                    `${vm} sent a request for version ${version} of ${key} at ${sentAt}, which ${begun.engine} began on `
-                        + `${begun.version} at ${begun.at}, ${
-                            Math.round(begun.at - replacedAt!)
+                    `${vm} sent a request for version ${version} of ${key} at ${sentAt}; ${started.engine} started it on `
+                        + `${started.version} at ${started.at}, ${
+                            Math.round(started.at - replacedAt!)
                         } ms after it was replaced`,
                 );
             }
         }
     }
 
-    /** Where nothing is disrupted each request is served, soon after a name by the newest version. */
+    /** Checks that each request was served, and from `newestAfterMs` after an announcement by the newest version. */
     checkServed(newestAfterMs: number): void {
         const lastAt = this.schedule.now - 6000;
         for (const call of this.calls.filter(({ arrivedAt }) => arrivedAt < lastAt)) {
             assert.is(call.end, "served", JSON.stringify(call));
         }
-        for (const { request, version, at } of this.begun) {
+        for (const { request, version, at } of this.startedRequests) {
             const replacedAt = this.findReplacedAt(request.key, version);
             const isLate = replacedAt !== undefined && request.sentAt > replacedAt + newestAfterMs;
-            assert.not(isLate, `sent at ${request.sentAt} on ${version}, replaced at ${replacedAt}, begun at ${at}`);
+            assert.not(isLate, `sent at ${request.sentAt} on ${version}, replaced at ${replacedAt}, started at ${at}`);
         }
     }
 
@@ -388,8 +393,8 @@
         return this.store.records.find(record => record.key === key && record.version > version)?.at;
     }
 
-    /** From when on the time since a replacement counts; Infinity if the VM was not in touch. */
-    private findStretch(replacedAt: number, { request, at }: BegunRequest): number {
+    /** Finds from when the time since a replacement counts; Infinity if the VM was not connected for long enough. */
+    private findCountedSince(replacedAt: number, { request, at }: StartedRequest): number {
         const inTouchFrom = request.sentAt - stableWindowMs;
         let since = replacedAt;
         for (const { what, vm, until } of this.disruptions.filter(({ from }) => from <= at)) {
--- a/packages/node/test/words.test.ts
+++ b/packages/node/test/words.test.ts
@@ -1,4 +1,4 @@
-/** What answers say of upstreams, over random histories: stores that are away, old entries, rebirths, answers of each kind. */
+/** Checks response metadata over random histories: unreachable stores, old entries, restarts, any responses. */
 import { chooseServer, FleetView } from "@radishreel/fleet";
 import fc from "fast-check";
 import { test } from "uvu";
@@ -10,33 +10,33 @@
 import { readWords } from "../src/requests/words.js";
 import { createSilentLog, createUpstream } from "./fixtures.js";
 
-/** Names that upstreams register under; each may start again. */
+/** Names that upstreams register under. Each upstream may restart under its name. */
 const names = ["s1", "s2"];
 
 const service = { name: "desk", maxConnections: 10 };
 
-/** Answers, by how they name their request and their upstream, and whether they are that upstream's own word. */
-const answers: Record<string, { head: (name: string) => Partial<AnswerHead>; isOwn: boolean; }> = {
-    plain: { head: () => ({ requestId: "q" }), isOwn: true },
-    unnamed: { head: () => ({}), isOwn: true },
-    refused: { head: () => ({ isNotRun: true }), isOwn: true },
-    outdated: { head: name => ({ isMisdirected: true, answeredBy: name }), isOwn: true },
-    misdirected: { head: () => ({ isMisdirected: true }), isOwn: false },
-    ofAnother: { head: () => ({ isMisdirected: true, answeredBy: "other" }), isOwn: false },
-    late: { head: () => ({ requestId: "r" }), isOwn: false },
+/** Responses by how they name request and upstream, and whether their metadata counts for the upstream. */
+const responses: Record<string, { head: (name: string) => Partial<AnswerHead>; countsForUpstream: boolean; }> = {
+    plain: { head: () => ({ requestId: "q" }), countsForUpstream: true },
+    unnamed: { head: () => ({}), countsForUpstream: true },
+    refused: { head: () => ({ isNotRun: true }), countsForUpstream: true },
+    outdated: { head: name => ({ isMisdirected: true, answeredBy: name }), countsForUpstream: true },
+    misdirected: { head: () => ({ isMisdirected: true }), countsForUpstream: false },
+    ofAnother: { head: () => ({ isMisdirected: true, answeredBy: "other" }), countsForUpstream: false },
+    late: { head: () => ({ requestId: "r" }), countsForUpstream: false },
 };
 
 const vmArbitrary = fc.nat(1);
 const nameArbitrary = fc.constantFrom(...names);
-const lifeArbitrary = fc.integer({ min: 1, max: 3 });
+const incarnationArbitrary = fc.integer({ min: 1, max: 3 });
 
-/** What may happen; `age` is by how many records an entry is older than the newest one. */
+/** Steps of a history; `age` is the number of records by which an entry is older than the newest one. */
 const stepArbitrary = fc.oneof(
     fc.record({
         kind: fc.constant("entry" as const),
         vm: vmArbitrary,
         name: nameArbitrary,
-        life: lifeArbitrary,
+        incarnation: incarnationArbitrary,
         isLeaving: fc.boolean(),
         age: fc.nat(3),
     }),
@@ -48,8 +48,8 @@
         kind: fc.constant("answer" as const),
         vm: vmArbitrary,
         name: nameArbitrary,
-        life: lifeArbitrary,
-        form: fc.constantFrom(...Object.keys(answers)),
+        incarnation: incarnationArbitrary,
+        form: fc.constantFrom(...Object.keys(responses)),
         isLeaving: fc.boolean(),
         askedRestMs: fc.option(fc.integer({ min: 1, max: 5000 }), { nil: undefined }),
     }),
@@ -57,24 +57,30 @@
 
 type Step = typeof stepArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
-function formatLife(name: string, life: number): string {
-    return `${name}@${life}`;
+function formatUpstreamId(name: string, incarnation: number): string {
+    return `${name}@${incarnation}`;
 }
 
-/** Two VMs, what they were truly told, and the messages between them. */
+/** Two VMs, the metadata that they received, and the messages between them. */
 class World {
     now = 60_000;
     private position = 0;
-    private readonly underWay: { readonly to: number; readonly message: PeerMessage; }[] = [];
+    private readonly inTransit: { readonly to: number; readonly message: PeerMessage; }[] = [];
     private readonly vms = [0, 1].map(index => this.createVm(index));
 
     run(step: Step): void {
         switch (step.kind) {
             case "entry": {
                 this.position += 1;
-                const { name, life, isLeaving, age } = step;
-                const id = formatLife(name, life);
-                const upstream = createUpstream(id, { name, bornAt: life, service: "desk", isLeaving, models: [] });
+                const { name, incarnation, isLeaving, age } = step;
+                const id = formatUpstreamId(name, incarnation);
+                const upstream = createUpstream(id, {
+                    name,
+                    bornAt: incarnation,
+                    service: "desk",
+                    isLeaving,
+                    models: [],
+                });
                 const position = Math.max(1, this.position - age);
                 this.vms[step.vm]!.cluster.applyChanges([{ kind: "upstream", upstream, position }]);
                 break;
@@ -93,7 +99,7 @@
                 this.vms.forEach(({ cluster }) => cluster.expireLapsed());
                 break;
             case "deliver":
-                for (const { to, message } of this.underWay.splice(0)) {
+                for (const { to, message } of this.inTransit.splice(0)) {
                     assert.is(message.type, "upstreamsLeaving");
                     if (message.type === "upstreamsLeaving") {
                         this.vms[to]!.sharing.receive("other", message.upstreams);
@@ -102,17 +108,17 @@
                 }
                 break;
             case "answer":
-                this.receiveAnswer(step);
+                this.receiveResponse(step);
         }
         this.vms.forEach(vm => this.check(vm));
     }
 
-    private receiveAnswer(step: Extract<Step, { kind: "answer"; }>): void {
-        const { vm: index, name, life, form, isLeaving, askedRestMs } = step;
+    private receiveResponse(step: Extract<Step, { kind: "answer"; }>): void {
+        const { vm: index, name, incarnation, form, isLeaving, askedRestMs } = step;
         const vm = this.vms[index]!;
-        const id = formatLife(name, life);
-        const { head, isOwn } = answers[form]!;
-        const words = readWords({
+        const id = formatUpstreamId(name, incarnation);
+        const { head, countsForUpstream } = responses[form]!;
+        const metadata = readWords({
             requestId: undefined,
             isNotRun: false,
             isMisdirected: false,
@@ -122,21 +128,21 @@
             askedRestMs,
             ...head(name),
         }, { requestId: "q", upstreamName: name });
-        if (words.askedRestMs !== undefined) {
-            vm.view.rests.record(id, words.askedRestMs, this.now);
+        if (metadata.askedRestMs !== undefined) {
+            vm.view.rests.record(id, metadata.askedRestMs, this.now);
         }
-        if (words.isLeaving) {
+        if (metadata.isLeaving) {
             vm.sharing.recordAnswer(id);
         }
-        if (isOwn && isLeaving) {
+        if (countsForUpstream && isLeaving) {
             vm.leaving.add(id);
         }
-        if (isOwn && askedRestMs !== undefined) {
-            vm.restEnds.set(id, Math.max(vm.restEnds.get(id) ?? 0, this.now + askedRestMs));
+        if (countsForUpstream && askedRestMs !== undefined) {
+            vm.backoffEnds.set(id, Math.max(vm.backoffEnds.get(id) ?? 0, this.now + askedRestMs));
         }
     }
 
-    private check({ view, leaving, restEnds, told }: ReturnType<World["createVm"]>): void {
+    private check({ view, leaving, backoffEnds, sentMessages }: ReturnType<World["createVm"]>): void {
         const { now } = this;
         const chosen = chooseServer({ view, service, dataCentre: "z", now, penalties: new Map() });
         const awake = new Set(view.listAwake("desk", now).map(({ upstream }) => upstream.id));
@@ -145,14 +151,14 @@
             const { id } = upstream;
             const mayServe = !upstream.isLeaving && !leaving.has(id);
             assert.is(view.isUsable(id), mayServe);
-            assert.is(awake.has(id), mayServe && (restEnds.get(id) ?? 0) <= now);
+            assert.is(awake.has(id), mayServe && (backoffEnds.get(id) ?? 0) <= now);
         }
-        assert.is(new Set(told).size, told.length);
+        assert.is(new Set(sentMessages).size, sentMessages.length);
     }
 
     private createVm(index: number) {
         const view = new FleetView();
-        const told: string[] = [];
+        const sentMessages: string[] = [];
         const log = createSilentLog(() => this.now);
         const cluster = new ClusterState({
             view,
@@ -168,17 +174,27 @@
             log,
             readTime: () => this.now,
             broadcast: message => {
-                this.underWay.push({ to: 1 - index, message });
-                told.push(JSON.stringify(message));
+                this.inTransit.push({ to: 1 - index, message });
+                sentMessages.push(JSON.stringify(message));
             },
             onChange: () => {},
         });
-        /** Who leaves by its own word, as this VM was told by answers or by the other VM; who rests, and until when. */
-        return { view, cluster, sharing, told, leaving: new Set<string>(), restEnds: new Map<string, number>() };
+        /**
+         * `leaving`: upstreams that announced to this VM or the other one that they are leaving; `backoffEnds`: ends of
+         * backoffs.
+         */
+        return {
+            view,
+            cluster,
+            sharing,
+            sentMessages,
+            leaving: new Set<string>(),
+            backoffEnds: new Map<string, number>(),
+        };
     }
 }
 
-test("over random histories nothing goes to an upstream that leaves or rests by its own word, and to others all may go", () => {
+test("over random histories exactly the upstreams that are not leaving or backing off may get requests", () => {
     fc.assert(
         fc.property(fc.array(stepArbitrary, { minLength: 1, maxLength: 40 }), steps => {
             const world = new World();
