--- a/packages/node/src/requests/admissions.ts
+++ b/packages/node/src/requests/admissions.ts
@@ -115,33 +115,33 @@
     }
 
     /** Receives an owner's reply. */
-    receiveAnswer(vm: string, answer: AdmissionAnswer): void {
-        const found = this.tickets.get(answer.ticket);
+    receiveAnswer(vm: string, reply: AdmissionAnswer): void {
+        const found = this.tickets.get(reply.ticket);
         if (found === undefined || found.owner !== vm) {
             return;
         }
         clearTimeout(found.timer);
-        switch (answer.kind) {
+        switch (reply.kind) {
             case "queued":
-                found.expectedAt = this.options.readTime() + answer.expectedMs;
+                found.expectedAt = this.options.readTime() + reply.expectedMs;
                 return;
             case "admitted":
                 found.isAdmitted = true;
-                found.resolveOutcome({ kind: "admitted", version: answer.version });
+                found.resolveOutcome({ kind: "admitted", version: reply.version });
                 return;
             case "notOwned":
-                this.close(answer.ticket, { kind: "lost" });
+                this.close(reply.ticket, { kind: "lost" });
                 return;
             case "busier":
-                this.close(answer.ticket, {
+                this.close(reply.ticket, {
                     kind: "busier",
-                    load: answer.load,
-                    version: answer.version,
-                    isComing: answer.isComing,
+                    load: reply.load,
+                    version: reply.version,
+                    isComing: reply.isComing,
                 });
                 return;
             case "declined":
-                this.close(answer.ticket, { kind: "declined", expectedMs: answer.expectedMs });
+                this.close(reply.ticket, { kind: "declined", expectedMs: reply.expectedMs });
                 return;
         }
     }
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -74,8 +74,8 @@
     readonly readTime: () => number;
     readonly checkBeforeSend: () => boolean;
     /** Called when the head of the response arrives, which for streams is long before their end. */
-    readonly onMetadata: (words: UpstreamWords) => void;
-    /** Called when the first event or chunk is about to be sent to the caller. */
+    readonly onMetadata: (metadata: UpstreamWords) => void;
+    /** Called when the first event of a stream arrives, or when a large plain response starts to be streamed. */
     readonly onStart: () => void;
 }
 
--- a/packages/node/src/requests/caller.ts
+++ b/packages/node/src/requests/caller.ts
@@ -170,21 +170,21 @@
     }
 
     /** Sends a refusal; aborts the response instead if one has started. */
-    refuse(answer: OwnAnswer): void {
+    refuse(refusal: OwnAnswer): void {
         if (this.hasResponseHead) {
             this.cancelResponse();
             return;
         }
-        const text = JSON.stringify({ status: answer.status, reason: answer.reason });
+        const text = JSON.stringify({ status: refusal.status, reason: refusal.reason });
         const headers = ["Content-Type", "application/problem+json", "Content-Length", String(Buffer.byteLength(text))];
-        if (answer.retryAfterSeconds !== undefined) {
-            headers.push("Retry-After", answer.retryAfterSeconds.toFixed(2));
+        if (refusal.retryAfterSeconds !== undefined) {
+            headers.push("Retry-After", refusal.retryAfterSeconds.toFixed(2));
         }
         if (!this.request.complete) {
             // The rest of the body is not read, so the connection cannot carry another request.
             this.response.shouldKeepAlive = false;
         }
-        this.startResponse(answer.status, headers);
+        this.startResponse(refusal.status, headers);
         this.endResponse(Buffer.from(text));
     }
 
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/choosing.ts
@@ -41,13 +41,13 @@
 /** Assumed remainder of a wait that has lasted longer than expected, in milliseconds: about one load. */
 const overdueWaitMs = 250;
 
-/** How long a request penalises an engine whose owner was lost, in milliseconds: until news of a new owner arrives. */
+/** How long a request penalises an engine whose owner was lost, in milliseconds. A new owner is reported by then. */
 const lostOwnerPauseMs = 60;
 
 /** Penalty of an engine whose owner was lost, in milliseconds: less than the cost of a load elsewhere. */
 const lostOwnerPenaltyMs = 200;
 
-/** Minimum time between two admission requests of one job, in milliseconds, so that news of a lost owner can arrive. */
+/** Minimum time between two admission requests of one job, in milliseconds, in which a lost owner is reported. */
 const minAskIntervalMs = 5;
 
 /** How long a request respects that an owner declined it, in milliseconds. */
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -26,7 +26,7 @@
 import { minAttemptMs, readLastSendAt } from "./patience.js";
 import { emptyMetadata, type UpstreamWords } from "./words.js";
 
-/** Maximum rejections of one request by upstreams before it is refused. Each rejection confirms that it did not run. */
+/** Maximum rejections of one request by upstreams before it is refused. Rejected requests did not run. */
 const maxRejections = 6;
 
 /** Default `Retry-After` of a refusal, in seconds. An owner or an upstream is replaced within some seconds. */
@@ -468,8 +468,8 @@
         now: number,
     ): { firstByteMs: number; pauseMs: number; timeLeftMs: number; } {
         const timeLeftMs = job.deadlineAt - now;
-        const canRepeat = isIdempotent(job.route) && job.runs + 1 < job.route.maxAttempts;
-        if (!canRepeat) {
+        const canRetry = isIdempotent(job.route) && job.runs + 1 < job.route.maxAttempts;
+        if (!canRetry) {
             return { firstByteMs: timeLeftMs + 1000, pauseMs: timeLeftMs + 1000, timeLeftMs };
         }
         const expectedMs = choice.costMs * firstByteFactor;
@@ -612,17 +612,17 @@
         return hasAvailable ? undefined : this.chooser.findBackoffEnd(job, now);
     }
 
-    private refuse(caller: CallerExchange, demand: CallerDemand, answer: OwnAnswer): void {
-        this.options.onRefusal(answer.reason);
+    private refuse(caller: CallerExchange, demand: CallerDemand, refusal: OwnAnswer): void {
+        this.options.onRefusal(refusal.reason);
         this.options.log.recordImportant("refused", {
             request: demand.requestId,
-            status: answer.status,
-            reason: answer.reason,
-            ...answer.detail,
+            status: refusal.status,
+            reason: refusal.reason,
+            ...refusal.detail,
             path: caller.path,
             routing: this.options.cluster.routes?.routing.version,
         });
-        caller.refuse(answer);
+        caller.refuse(refusal);
     }
 
     private recordEnd(job: Job, kind: string, choice: UpstreamChoice): void {
--- a/packages/node/test/versionvm.ts
+++ b/packages/node/test/versionvm.ts
@@ -537,11 +537,11 @@
             });
         let updateCount = 0;
         const updateWithdrawal = (): void => {
-            const update = ++updateCount;
+            const updateNumber = ++updateCount;
             const withdrawMs = versions.readUseEnd(call.key, version) - this.readBoot();
             if (withdrawMs < Infinity) {
                 this.wait(Math.max(0, withdrawMs), () => {
-                    if (update === updateCount && !hasStarted && request.sentAt < Infinity) {
+                    if (updateNumber === updateCount && !hasStarted && request.sentAt < Infinity) {
                         cancel("takenBack");
                     }
                 });
