--- a/packages/node/test/choosing.test.ts
+++ b/packages/node/test/choosing.test.ts
@@ -115,7 +115,7 @@
     assert.is(counts.choices, 2);
 });
 
-test("a request that one engine declines is admitted by another, and refused once the best one has declined", async () => {
+test("a request that one engine declines is admitted by another; it is refused once the best has declined", async () => {
     const asked: string[] = [];
     const { chooser } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type !== "admit") {
@@ -148,7 +148,7 @@
     assert.ok(job.expectedAt! - job.startedAt > 8000);
 });
 
-test("a request whose engine is busier than expected is redirected, and after four times accepts any load", async () => {
+test("a request whose engine is busier than expected is redirected, but accepts any load after four times", async () => {
     const asked: { engine: string; expectedQueueMs: number | undefined; }[] = [];
     const load = { active: 9, backlogTokens: 90_000, kvTokens: 90_000, longAnswers: 0, largestPrompt: 9000 };
     const { chooser, view } = createChooser(["e1", "e2"], (message, admissions) => {
--- a/packages/node/test/versionworld.ts
+++ b/packages/node/test/versionworld.ts
@@ -367,7 +367,7 @@
             if (started.at - since > replacedMs) {
                 const { vm, key, sentAt, version } = started.request;
                 assert.unreachable(
-                    `${vm} sent a request for version ${version} of ${key} at ${sentAt}; ${started.engine} started it on `
+                    `${vm} sent a request for ${key} version ${version} at ${sentAt}; ${started.engine} started it on `
                         + `${started.version} at ${started.at}, ${
                             Math.round(started.at - replacedAt!)
                         } ms after it was replaced`,
