--- a/packages/node/src/links/accepted.ts
+++ b/packages/node/src/links/accepted.ts
@@ -1,10 +1,10 @@
 import type { Link } from "@radishreel/wire";
 import type { PeerMessage } from "./messages.js";
 
-/** Open links that other VMs have opened, the newest one of each. */
+/** Open links that other VMs have opened, the newest link of each VM. */
 export class AcceptedLinks {
     private readonly links = new Map<string, Link<PeerMessage>>();
-    /** When the last link was lost that a VM of another data centre had opened, in milliseconds. */
+    /** When a link opened by a VM of another data centre was last lost, in milliseconds. */
     private lostAt: number | undefined;
 
     constructor(private readonly dataCentre: string) {}
@@ -13,9 +13,9 @@
         this.links.set(link.peer.id, link);
     }
 
-    /** Takes word that a link is closed. @returns Whether it was the newest of its VM. */
+    /** Removes a closed link. @returns Whether it was the newest link of its VM. */
     remove(link: Link<PeerMessage>, now: number): boolean {
-        // One may close before the other side has said who it is.
+        // A link may close before the other side has sent its identity.
         if (!link.hasPeer || this.links.get(link.peer.id) !== link) {
             return false;
         }
@@ -34,7 +34,9 @@
         return [...this.links.keys()];
     }
 
-    /** Times since VMs of other data centres were heard or their last link was lost, in milliseconds. */
+    /**
+     * Times since the last frame from VMs of other data centres or since the loss of their last link, in milliseconds.
+     */
     listQuietMs(now: number): number[] {
         const open = [...this.links.values()]
             .filter(({ peer }) => peer.dataCentre !== this.dataCentre)
--- a/packages/node/src/links/hub.ts
+++ b/packages/node/src/links/hub.ts
@@ -1,15 +1,16 @@
 /**
- * While a process is this young, shards are dealt anew with each VM that joins, in milliseconds: all VMs start within some
- * seconds, at first and after a loss of power.
+ * Age up to which a process counts as starting up, in milliseconds. All VMs start within some seconds, at the first
+ * start and after a power failure, and each VM that joins causes a new assignment of shards.
  */
-const joiningMs = 5000;
+const startupMs = 5000;
 
 /**
- * How long such a process holds engines before it links to all VMs, in milliseconds: a deal that lasts two renewals is not
- * one of those. Without it most VMs of a fleet that starts at once link to all others for a moment of ownership. A new holder
- * waits longer than this before its first order.
+ * How long a process that is starting up owns engines before it links to all VMs, in milliseconds: an assignment that
+ * lasts two renewals is not one of the short-lived assignments during startup. Without this wait most VMs of a fleet
+ * that starts at once would link to all others for a moment of ownership. A new holder waits longer than this before
+ * its first order.
  */
-const settledMs = 800;
+const minOwnershipMs = 800;
 
 /** Options of {@link HubWatch}. */
 export interface HubWatchOptions {
@@ -17,18 +18,18 @@
     readonly startedAt: number;
 }
 
-/** Says whether a VM owns engines for long enough to be linked to all others. */
+/** Determines whether a VM has owned engines long enough to be a hub: a VM linked to all others. */
 export class HubWatch {
-    private heldSince: number | undefined;
+    private ownsSince: number | undefined;
 
     constructor(private readonly options: HubWatchOptions) {}
 
-    /** @returns Whether it is to be linked to all others. */
+    /** @returns Whether the VM is to be linked to all others. */
     update(hasEngines: boolean, now: number): boolean {
-        this.heldSince = hasEngines ? this.heldSince ?? now : undefined;
-        if (this.heldSince === undefined) {
+        this.ownsSince = hasEngines ? this.ownsSince ?? now : undefined;
+        if (this.ownsSince === undefined) {
             return false;
         }
-        return now - this.options.startedAt > joiningMs || now - this.heldSince >= settledMs;
+        return now - this.options.startedAt > startupMs || now - this.ownsSince >= minOwnershipMs;
     }
 }
--- a/packages/node/src/links/linklimits.ts
+++ b/packages/node/src/links/linklimits.ts
@@ -1,12 +1,13 @@
 import { type LinkLimits, resolveLinkLimits } from "@radishreel/wire";
 
-/** Largest frame between VMs, in bytes: the whole state of a store with some thousand routes. */
+/** Largest frame between VMs, in bytes: fits the whole state of a store with some thousand routes. */
 const maxFrameBytes = 8 * 1024 * 1024;
 
 /**
- * Heartbeats and the silence after which a link counts as dead, in milliseconds, where each VM is linked to each: faults last
- * some seconds. Only the side that opened a link sends on it and acts on its loss, so it hears heartbeats at the quicker
- * pace; the other side only needs to drop what is left of a VM that is gone, or of a path that is cut one way.
+ * Heartbeat intervals and the silence after which a link counts as dead, in milliseconds, in a full mesh: faults last
+ * some seconds. Only the side that opened a link sends on it and acts on its loss, so that side receives heartbeats at
+ * the shorter interval; the other side only needs to close links of VMs that are gone, or of paths that are cut in one
+ * direction.
  */
 const meshLimits = resolveLinkLimits({
     heartbeatMs: 400,
@@ -17,9 +18,10 @@
 });
 
 /**
- * The same among more VMs, where both sides send on one link. That an owner of engines is silent shows in 180 ms by the
- * requests that ask it; a link that is dead only has to be opened anew. Each heartbeat wakes a VM, and an owner has a link to
- * all: by the intervals of a mesh its heartbeats alone would fill the processor of an owner among hundreds.
+ * The same limits without a full mesh, where both sides send on one link. Requests that wait for admission detect an
+ * unreachable owner within 180 ms; heartbeats only need to detect that a link must be reopened. Each heartbeat wakes a
+ * VM, and an owner of engines is linked to all VMs: among hundreds of VMs, heartbeats at the intervals of a mesh would
+ * use up its processor time.
  */
 const fleetLimits = resolveLinkLimits({
     heartbeatMs: 2500,
@@ -27,10 +29,10 @@
     maxFrameBytes,
 });
 
-/** How often links are looked at, in milliseconds: the shortest time between heartbeats. */
+/** Interval at which links are checked, in milliseconds: the shortest heartbeat interval. */
 export const linkTickMs = meshLimits.heartbeatMs;
 
-/** Limits of a link, by whether each VM is linked to each. */
+/** Returns the limits of a link, in a full mesh or without one. */
 export function chooseLinkLimits(isMesh: boolean): LinkLimits {
     return isMesh ? meshLimits : fleetLimits;
 }
--- a/packages/node/src/links/members.ts
+++ b/packages/node/src/links/members.ts
@@ -2,18 +2,18 @@
 import type { Member } from "../ports.js";
 import type { KnownMember } from "./wanted.js";
 
-/** Other VMs that one VM knows, by address. What is told of one later adds to what is known; seeds have an address only. */
+/** Other VMs that one VM knows, by address. Later updates add missing details; seeds have an address only. */
 export class KnownMembers {
     private readonly members = new Map<string, KnownMember>();
 
-    /** @param self The VM that knows them: it is none of the others. */
+    /** @param self The VM itself, which is never listed. */
     constructor(private readonly self: Pick<NodeIdentity, "address">) {}
 
     get count(): number {
         return this.members.size;
     }
 
-    /** Takes word of a VM. @returns Whether it was new. */
+    /** Adds a VM or its details. @returns Whether this changed what was known. */
     update({ address, id, dataCentre }: KnownMember): boolean {
         if (address === this.self.address || address === "") {
             return false;
@@ -32,7 +32,7 @@
         return [...this.members.values()];
     }
 
-    /** Those that are known by name. */
+    /** Lists the VMs whose names are known. */
     listNamed(): Member[] {
         return this.list().flatMap(({ id, address, dataCentre }) =>
             id === undefined ? [] : [{ id, address, dataCentre }]
--- a/packages/node/src/links/messages.ts
+++ b/packages/node/src/links/messages.ts
@@ -18,7 +18,7 @@
 
 const position = z.number();
 
-/** Highest positions read: of routes and versions, and of upstreams. */
+/** Highest log positions read: of routes and versions, and of upstreams. */
 const positionsSchema = z.object({ operator: position, upstreams: position });
 
 /** See {@link positionsSchema}. */
@@ -39,8 +39,8 @@
     z.object({ kind: z.literal("member"), member: memberSchema, position }),
 ]);
 
-/** A process of a VM that handed its shards over. */
-const giverSchema = z.object({ vm: z.string(), incarnation: z.number() });
+/** A process of a VM that handed over its shards. */
+const handoverSourceSchema = z.object({ vm: z.string(), incarnation: z.number() });
 
 /** See `QuotaVerdict` in quota.ts. */
 const quotaVerdictSchema = z.discriminatedUnion("kind", [
@@ -49,102 +49,116 @@
     z.object({ kind: z.literal("unsure") }),
 ]);
 
-/** What VMs tell each other. */
+/** Messages between VMs. */
 export const peerMessageSchema = z.discriminatedUnion("type", [
     /** VMs that the sender knows. Sent when a link opens. */
     z.object({ type: z.literal("members"), members: z.array(memberSchema) }),
-    /** What the store said. The whole state when a link opens; after that only to VMs that asked for it. */
+    /**
+     * Changes read from the store. The whole state when a link opens; afterwards only to VMs that requested changes.
+     */
     z.object({ type: z.literal("changes"), changes: z.array(changeSchema) }),
-    /** How far the sender has read, and whether it reads the store by itself and reaches it. */
+    /** Positions that the sender has read, and whether it reads the store itself and reaches it. */
     z.object({ type: z.literal("positions"), positions: positionsSchema, canRead: z.boolean() }),
-    /** The sender lacks changes that the receiver has read, and how far it has read itself. */
+    /**
+     * Requests changes that the receiver has read and the sender lacks, with the positions that the sender has read.
+     */
     z.object({ type: z.literal("pull"), positions: positionsSchema }),
-    /** Whether the sender wants every change that the receiver learns, and how far it has read itself. */
+    /** Whether the sender wants every change that the receiver learns, with the positions that the sender has read. */
     z.object({ type: z.literal("follow"), isWanted: z.boolean(), positions: positionsSchema }),
-    /** The sender's word about engines that it owns. */
+    /** Statuses of engines that the sender owns. */
     z.object({ type: z.literal("news"), news: z.array(engineNewsSchema) }),
-    /** Upstreams whose answers to the sender say that they leave. What is current when a link opens; after that what is new. */
+    /**
+     * Upstreams whose responses announce that they are leaving. All current ones when a link opens, later new ones.
+     */
     z.object({ type: z.literal("upstreamsLeaving"), upstreams: z.array(z.string()) }),
-    /** To the owner of an engine: a request of the sender asks to be let in. */
+    /** To the owner of an engine: a request of the sender requests admission. */
     z.object({ type: z.literal("admit"), engine: z.string(), request: admissionRequestSchema }),
-    /** From the owner of an engine, to a request that asked. */
+    /** From the owner of an engine: the reply to a request for admission. */
     z.object({ type: z.literal("admission"), answer: admissionAnswerSchema }),
-    /** To the owner of an engine: the prompt of a request is read. */
+    /** To the owner of an engine: the engine has read the prompt of a request. */
     z.object({ type: z.literal("begun"), engine: z.string(), ticket: z.number() }),
-    /** To the owner of an engine: a request has ended, or waits no longer. */
+    /** To the owner of an engine: a request has finished, or no longer waits for admission. */
     z.object({ type: z.literal("ended"), engine: z.string(), ticket: z.number() }),
-    /** To a new owner of an engine: all requests of the sender that run there. */
+    /** To a new owner of an engine: all requests of the sender that run on the engine. */
     z.object({ type: z.literal("runs"), engine: z.string(), requests: z.array(admissionRequestSchema) }),
-    /** To the owner of an engine: this adapter will be asked for. */
+    /** To the owner of an engine: a request will need this adapter. */
     z.object({
         type: z.literal("prepare"),
         engine: z.string(),
         want: z.object({
             key: z.string(),
             version: z.number(),
-            /** Time for which a request will use it, in milliseconds. */
+            /** Time for which a request will use the adapter, in milliseconds. */
             runMs: z.number(),
-            /** Time in which a request must be sent to be answered in time, in milliseconds. */
+            /** Time within which a request must be sent to meet its latency target, in milliseconds. */
             onTimeMs: z.number(),
-            /** How long it is wanted, in milliseconds. */
+            /** How long the load request stays valid, in milliseconds. */
             lifeMs: z.number(),
         }),
     }),
-    /** To the owner of an engine: it turned a request for this adapter away. */
+    /** To the owner of an engine: the engine rejected a request because it lacks this adapter. */
     z.object({ type: z.literal("missing"), engine: z.string(), key: z.string() }),
     /** The sender gives no more orders to the engines of these shards. */
     z.object({ type: z.literal("release"), shards: z.array(z.number()), generation: z.number() }),
-    /** The sender stops while the store is away and hands these shards to the receiver alone. */
+    /** The sender stops while the store is unreachable, and hands these shards over to the receiver alone. */
     z.object({
         type: z.literal("handover"),
         shards: z.array(z.number()),
         deal: z.number(),
         depth: z.number(),
-        givers: z.array(giverSchema),
+        givers: z.array(handoverSourceSchema),
     }),
-    /** The sender has started, cannot renew its claims, or goes on for VMs that stopped, and asks what others know. */
+    /** Lease query. The sender has started, cannot renew its leases, or holds shards that were handed over to it. */
     z.object({
         type: z.literal("claimQuery"),
         query: z.number(),
         newestDeal: z.number(),
-        givers: z.array(giverSchema),
+        givers: z.array(handoverSourceSchema),
     }),
-    /** Answer to a query: the deal that the sender last saw, and how long ago it asked for it. */
+    /** Reply to a lease query: the generation of the sender's last confirmed renewal, and the age of that renewal. */
     z.object({
         type: z.literal("claimState"),
         query: z.number(),
         generation: z.number(),
-        /** The newest deal that the sender knows of, from others too. */
+        /** Newest generation that the sender knows, also from other VMs. */
         newestDeal: z.number(),
         shards: z.array(z.number()),
-        /** Age of the last renewal that was answered, counted from its sending, in milliseconds. */
+        /** Age of the last confirmed renewal, counted from its sending, in milliseconds. */
         renewalAgeMs: z.number(),
-        /** Whether the sender has lately tried to renew and got no answer. */
+        /** Whether recent renewals of the sender had no response. */
         isCutOff: z.boolean(),
-        /** Whether the sender knows that a VM for which the asker goes on has started again, or that none has. */
+        /**
+         * Whether the sender knows that a handover source of the querying VM has restarted, and whether it knows that
+         * none has.
+         */
         giversHaveStarted: z.boolean(),
         giversAreGone: z.boolean(),
-        /** Whether another VM has lately said that it goes on for the asker. */
+        /** Whether another VM has recently reported that it took over shards of the querying VM. */
         isTakenOver: z.boolean(),
     }),
-    /** Upstreams that have ended, and what ran there. What is current when a link opens; after that what is new. */
+    /**
+     * Crash reports: upstreams that have ended, and what ran there. All current ones when a link opens, later new ones.
+     */
     z.object({ type: z.literal("crashReports"), reports: z.array(crashReportSchema) }),
-    /** To the referee of a suspected request: the sender wants to run it. */
+    /** To the permit issuer of a suspect request: the sender requests a permit to run it. */
     z.object({ type: z.literal("claimPermit"), request: z.string(), ticket: z.number() }),
-    /** From the referee: whether it may. */
+    /** From the permit issuer: whether the request may run. */
     z.object({ type: z.literal("permitAnswer"), request: z.string(), ticket: z.number(), mayRun: z.boolean() }),
-    /** To the referee: the run is over, and what it ended has been told. */
+    /** To the permit issuer: the run is over, and upstreams that it ended have been reported. */
     z.object({ type: z.literal("releasePermit"), request: z.string(), ticket: z.number() }),
-    /** Asks as of when the receiver knows the newest configuration. The sender has the one of this position. */
+    /**
+     * Asks when the receiver last knew that its configuration was the newest. The sender has the configuration of this
+     * position.
+     */
     z.object({ type: z.literal("confirmQuery"), query: z.number(), position }),
     /**
-     * Answer to a query: the configuration of this position was the newest so long before the answer, in milliseconds. A
-     * sender whose own one was older has been sent it before.
+     * Reply to a confirmation query: `ageMs` before the reply, in milliseconds, the configuration of this position was
+     * the newest. A querying VM with an older configuration has been sent the newer one before this reply.
      */
     z.object({ type: z.literal("confirmation"), query: z.number(), position, ageMs: z.number().nonnegative() }),
-    /** The sender leases its share of the quotas of these groups of accounts to the receiver, and of no others. */
+    /** The sender leases its share of the quotas of these groups of accounts, and of no others, to the receiver. */
     z.object({ type: z.literal("leaseShare"), groups: z.array(z.number().int().nonnegative()) }),
-    /** To the coordinator of a group of accounts: a request asks for a part of its account's quota. */
+    /** To the coordinator of a group of accounts: a request claims part of its account's quota. */
     z.object({
         type: z.literal("claimQuota"),
         ticket: z.number(),
@@ -152,11 +166,11 @@
         limit: z.object({ perSecond: z.number().positive(), burst: z.number().nonnegative() }),
         cost: z.number().nonnegative(),
     }),
-    /** From the coordinator. */
+    /** From the coordinator: the verdict on a claim. */
     z.object({ type: z.literal("quotaAnswer"), ticket: z.number(), verdict: quotaVerdictSchema }),
-    /** To the coordinator: a request that was granted its cost has not run. */
+    /** To the coordinator: a request whose cost was granted has not run. */
     z.object({ type: z.literal("returnQuota"), account: z.string(), cost: z.number().nonnegative() }),
-    /** The sender is stopping and will take no part any more. */
+    /** The sender is stopping: it will lease no shards and receive no handovers. */
     z.object({ type: z.literal("leaving") }),
 ]);
 
--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -8,19 +8,19 @@
 import { isMesh, type KnownMember, listWantedLinks } from "./wanted.js";
 
 /**
- * Longest pause between two tries to reach a VM, in milliseconds. After a cut of 6 s nothing could be loaded on the engines
- * beyond it until links were open again, up to 2 s later.
+ * Longest delay between two attempts to reach a VM, in milliseconds. Without this limit the delay reaches 2 s
+ * in a cut of 6 s, and no adapter is loaded on the engines beyond the cut until links are open again.
  */
-const maxBackoffMs = 500;
+const maxReconnectDelayMs = 500;
 
-/** A VM that has been unreachable for this long is no longer tried, in milliseconds. */
-const forgetMs = 60_000;
+/** Time after which an unreachable VM is forgotten, in milliseconds. */
+const unreachableExpiryMs = 60_000;
 
 /**
- * A link that this VM does not want to keep is closed after this long without a message to that VM alone, in milliseconds:
- * one that owned engines for a moment would keep links to all others for good.
+ * Time without a message to one VM alone after which an unwanted link to that VM is closed, in milliseconds. Otherwise
+ * a VM that owned engines for a moment would keep links to all others for good.
  */
-const idleMs = 10_000;
+const idleLinkMs = 10_000;
 
 /** Options of {@link Peers}. */
 export interface PeersOptions {
@@ -31,13 +31,13 @@
     readonly port: number;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** A heartbeat or a message crossed a link. */
+    /** Called for each heartbeat and message on a link. */
     readonly onFrame: (direction: "sent" | "received", type: string) => void;
     readonly onBytes: (direction: "sent" | "received", count: number) => void;
-    /** Messages for a VM whose link has just opened. */
+    /** Creates the messages for a VM whose link has just opened. */
     readonly createGreeting: (vm: string) => PeerMessage[];
     readonly onMessage: (vm: string, message: PeerMessage) => void;
-    /** A process of a VM that was not known before has opened a link. */
+    /** Called when a link to a process that was not known before has opened. */
     readonly onStart: () => void;
     readonly onClose: (vm: string) => void;
 }
@@ -46,17 +46,17 @@
     readonly address: string;
     readonly client: LinkClient<PeerMessage>;
     link: Link<PeerMessage> | undefined;
-    /** Known once a link has been open. */
+    /** Known once a link has been opened. */
     dataCentre: string | undefined;
     lastOpenAt: number;
-    /** When something was last sent to this VM alone. */
+    /** When a message was last sent to this VM alone, in milliseconds. */
     usedAt: number;
 }
 
 /**
- * Links to other VMs. Among few VMs each opens a link to each other, sends on those it opened and receives on those opened
- * to it, so that a path that is cut one way shows as a dead link of its own. Among more VMs owners of engines open links to
- * all, and the others send on these.
+ * Links to other VMs. Few VMs form a full mesh: each VM opens a link to each other VM, sends on the links that it
+ * opened and receives on the links that others opened, so that a path cut in one direction shows as a dead link. Among
+ * more VMs, owners of engines open links to all VMs, and the other VMs send on these links as well.
  */
 export class Peers {
     private readonly server: LinkServer<PeerMessage>;
@@ -66,12 +66,12 @@
     private readonly peersByAddress = new Map<string, Peer>();
     private readonly ticker = new LinkTicker(linkTickMs);
     private isHub = false;
-    /** Whether links are opened that this VM wants. */
+    /** Whether this VM opens the links that it wants; see {@link pauseOpening}. */
     private isOpening = true;
     private wanted: ReadonlySet<string> = new Set();
     /** Open links that this VM opened, by VM. */
     private readonly linksByVm = new Map<string, Link<PeerMessage>>();
-    /** Where each VM is linked to each nothing is sent on these. */
+    /** Links that other VMs opened. In a full mesh nothing is sent on them. */
     private readonly accepted: AcceptedLinks;
 
     constructor(private readonly options: PeersOptions) {
@@ -88,14 +88,14 @@
             events: {
                 onFrame: options.onFrame,
                 onBytes: options.onBytes,
-                onOpen: link => this.receiveCaller(link),
+                onOpen: link => this.receiveAcceptedLink(link),
                 onMessage: (link, message) => options.onMessage(link.peer.id, message),
-                onClose: link => this.receiveCallerClose(link),
+                onClose: link => this.receiveAcceptedClose(link),
             },
         });
     }
 
-    /** Starts to listen and returns the port. */
+    /** Starts listening and returns the port. */
     start(): Promise<number> {
         return this.server.start();
     }
@@ -107,37 +107,40 @@
         this.server.stop();
     }
 
-    /** Takes word of a VM, and opens a link to it if one is wanted. */
+    /** Adds a VM or its details, and opens a link to it if this VM wants one. */
     addPeer(member: KnownMember): void {
         if (this.members.update(member)) {
-            this.openWanted();
+            this.openWantedLinks();
         }
     }
 
-    /** Whether this VM owns engines: then it is linked to all others. */
+    /** Sets whether this VM is a hub, an owner of engines that is linked to all other VMs. */
     setHub(isHub: boolean): void {
         if (this.isHub !== isHub) {
             this.isHub = isHub;
-            this.openWanted();
+            this.openWantedLinks();
         }
     }
 
-    /** Whether each VM is linked to each. */
+    /** Whether the VMs form a full mesh. */
     get isMesh(): boolean {
         return isMesh(this.members.count);
     }
 
-    /** Opens no links by itself until it is told otherwise: while all VMs start, those that are known first are not all. */
+    /**
+     * Opens no wanted links until {@link resumeOpening}: while all VMs start, the first known VMs are only a part of
+     * them.
+     */
     pauseOpening(): void {
         this.isOpening = false;
     }
 
     resumeOpening(): void {
         this.isOpening = true;
-        this.openWanted();
+        this.openWantedLinks();
     }
 
-    private openWanted(): void {
+    private openWantedLinks(): void {
         const { self } = this.options;
         if (!this.isOpening) {
             return;
@@ -160,7 +163,7 @@
             schema: peerMessageSchema,
             limits: chooseLinkLimits(this.isMesh),
             ticker: this.ticker,
-            maxBackoffMs,
+            maxBackoffMs: maxReconnectDelayMs,
             events: {
                 onFrame: this.options.onFrame,
                 onBytes: this.options.onBytes,
@@ -181,13 +184,13 @@
         client.start();
     }
 
-    /** VMs to which messages can be sent. */
+    /** Lists the VMs to which messages can be sent. */
     listConnected(): string[] {
         const accepted = this.isMesh ? [] : this.accepted.listVms();
         return [...new Set([...this.linksByVm.keys(), ...accepted])];
     }
 
-    /** Links that this VM has opened or tries to open. */
+    /** Counts the links that this VM has opened or tries to open. */
     countOpened(): number {
         return this.peersByAddress.size;
     }
@@ -201,19 +204,19 @@
         return this.linksByVm.get(vm) ?? (this.isMesh ? undefined : this.accepted.find(vm));
     }
 
-    /** The process of a VM to which a link was opened last, by either side. */
+    /** Finds the incarnation of the process of a VM to which a link was last opened, by either side. */
     findIncarnation(vm: string): number | undefined {
         return this.incarnations.get(vm);
     }
 
-    /** Data centre of a connected VM. */
+    /** Finds the data centre of a connected VM. */
     findDataCentre(vm: string): string | undefined {
         return this.findLink(vm)?.peer.dataCentre;
     }
 
     /**
-     * Time since any VM of another data centre was heard, in milliseconds; undefined if none was ever linked. A link that
-     * is closed has been quiet since then.
+     * Time since the last frame from any VM of another data centre, in milliseconds; undefined if none was ever linked.
+     * The silence of a closed link counts from its close.
      */
     readOthersQuietMs(): number | undefined {
         const { self, readTime } = this.options;
@@ -221,26 +224,26 @@
         const opened = [...this.peersByAddress.values()]
             .filter(({ dataCentre }) => dataCentre !== undefined && dataCentre !== self.dataCentre)
             .map(({ link, lastOpenAt }) => link?.quietMs ?? now - lastOpenAt);
-        const quiet = this.isMesh ? opened : [...opened, ...this.accepted.listQuietMs(now)];
-        return quiet.length === 0 ? undefined : Math.min(...quiet);
+        const silences = this.isMesh ? opened : [...opened, ...this.accepted.listQuietMs(now)];
+        return silences.length === 0 ? undefined : Math.min(...silences);
     }
 
-    /** Takes word of a VM that it is stopping. */
+    /** Records that a VM has announced that it is stopping. */
     recordLeaving(vm: string): void {
         this.leaving.add(vm);
     }
 
-    /** Connected VMs that can take over what this one gives up: those that are not stopping themselves. */
+    /** Lists the connected VMs that can take over shards of this VM: those that are not stopping themselves. */
     listHeirs(): string[] {
         return this.listConnected().filter(vm => !this.leaving.has(vm));
     }
 
-    /** VMs that are known by name, this one left out. */
+    /** Lists the other VMs whose names are known. */
     listMembers(): Member[] {
         return this.members.listNamed();
     }
 
-    /** VMs that may be running, this one left out. */
+    /** Counts the other VMs that may be running. */
     countLikely(): number {
         return this.members.count;
     }
@@ -249,11 +252,11 @@
         this.sendToAll(this.listConnected(), message);
     }
 
-    /** Sends to the VMs of the own data centre, or to all where each is linked to each. */
+    /** Sends to the connected VMs of the own data centre, or to all connected VMs in a full mesh. */
     sendNear(message: PeerMessage): void {
         const { dataCentre } = this.options.self;
-        const isNear = (vm: string): boolean => this.isMesh || this.findDataCentre(vm) === dataCentre;
-        this.sendToAll(this.listConnected().filter(isNear), message);
+        const isIncluded = (vm: string): boolean => this.isMesh || this.findDataCentre(vm) === dataCentre;
+        this.sendToAll(this.listConnected().filter(isIncluded), message);
     }
 
     private sendToAll(vms: readonly string[], message: PeerMessage): void {
@@ -263,7 +266,7 @@
         }
     }
 
-    /** Sends to one VM. @returns Whether there is a link to it. */
+    /** Sends to one VM. @returns Whether a link to it is open. */
     send(vm: string, message: PeerMessage): boolean {
         const link = this.findLink(vm);
         const peer = link === undefined ? undefined : this.peersByAddress.get(link.peer.address);
@@ -273,34 +276,34 @@
         return link?.send(message) ?? false;
     }
 
-    /** Stops trying VMs that have been gone for long, and closes links that nobody has needed of late. */
+    /** Forgets VMs that have been unreachable for long, and closes unwanted links that have been idle for long. */
     expireUnused(): void {
         const now = this.options.readTime();
         const known = this.members.count;
         for (const peer of this.peersByAddress.values()) {
-            if (peer.link === undefined && now - peer.lastOpenAt > forgetMs) {
+            if (peer.link === undefined && now - peer.lastOpenAt > unreachableExpiryMs) {
                 this.members.remove(peer.address);
                 this.removePeer(peer);
             }
-            else if (!this.wanted.has(peer.address) && now - peer.usedAt > idleMs) {
+            else if (!this.wanted.has(peer.address) && now - peer.usedAt > idleLinkMs) {
                 this.removePeer(peer);
             }
         }
         if (this.members.count < known) {
-            this.openWanted();
+            this.openWantedLinks();
         }
     }
 
     private removePeer(peer: Peer): void {
         this.peersByAddress.delete(peer.address);
         if (peer.link !== undefined) {
-            this.recordUnlinked(peer.link);
+            this.recordClosedLink(peer.link);
         }
         peer.client.stop();
     }
 
-    /** Another VM has opened a link. */
-    private receiveCaller(link: Link<PeerMessage>): void {
+    /** Handles a link that another VM has opened. */
+    private receiveAcceptedLink(link: Link<PeerMessage>): void {
         const { peer } = link;
         this.addPeer({ id: peer.id, address: peer.address, dataCentre: peer.dataCentre });
         this.accepted.add(link);
@@ -313,8 +316,8 @@
         this.recordIncarnation(peer);
     }
 
-    private receiveCallerClose(link: Link<PeerMessage>): void {
-        // Where each VM is linked to each, its own link to the other one tells when that is gone.
+    private receiveAcceptedClose(link: Link<PeerMessage>): void {
+        // In a full mesh the link that this VM opened shows when the other VM is gone.
         if (this.accepted.remove(link, this.options.readTime()) && !this.isMesh) {
             this.checkConnected(link.peer.id);
         }
@@ -339,7 +342,7 @@
         this.linksByVm.set(link.peer.id, link);
         this.options.log.recordImportant("peerLinked", { peer: link.peer.id, address });
         if (!this.isMesh) {
-            // The other side opens no link of its own, by which it would tell that it has started.
+            // The other side opens no link of its own that would show its start.
             this.recordIncarnation(link.peer);
         }
         this.sendGreeting(link);
@@ -359,10 +362,10 @@
         peer.link = undefined;
         peer.lastOpenAt = this.options.readTime();
         this.options.log.recordImportant("peerLost", { peer: link.peer.id, address });
-        this.recordUnlinked(link);
+        this.recordClosedLink(link);
     }
 
-    private recordUnlinked(link: Link<PeerMessage>): void {
+    private recordClosedLink(link: Link<PeerMessage>): void {
         const vm = link.peer.id;
         if (this.linksByVm.get(vm) === link) {
             this.linksByVm.delete(vm);
@@ -370,7 +373,7 @@
         this.checkConnected(vm);
     }
 
-    /** A link to a VM is closed: it is out of reach unless there is another one. */
+    /** Calls `onClose` after a link has closed, unless another link to the VM is open. */
     private checkConnected(vm: string): void {
         if (!this.isConnected(vm)) {
             this.options.onClose(vm);
--- a/packages/node/src/links/wanted.ts
+++ b/packages/node/src/links/wanted.ts
@@ -1,16 +1,16 @@
 import type { NodeIdentity } from "@radishreel/wire";
 
 /**
- * Up to so many other VMs, each is linked to each. Beyond that only owners of engines are linked to all, since requests are
- * let in there, and each VM to the first ones of its data centre, which read the store for it: links then grow with the
- * owners and not with the square of the VMs.
+ * Number of other VMs up to which VMs form a full mesh. Beyond it only owners of engines are linked to all VMs, since
+ * they admit requests, and each VM is linked to the first VMs of its data centre, which read the store for it. The
+ * number of links then grows with the owners and not with the square of the VMs.
  */
-const meshVms = 12;
+const maxMeshPeers = 12;
 
-/** VMs of the own data centre to which each one is linked: the one that reads the store, and the next one. */
-const neighbourVms = 2;
+/** VMs per data centre to which a VM is linked: the reader of the store, and the next VM by name. */
+const neighbourCount = 2;
 
-/** A VM as others have told of it; seeds have an address only. */
+/** A VM as reported by other VMs; seeds have an address only. */
 export interface KnownMember {
     readonly id: string | undefined;
     readonly address: string;
@@ -20,18 +20,18 @@
 /** Options of {@link listWantedLinks}. */
 export interface WantedLinksOptions {
     readonly self: Pick<NodeIdentity, "id" | "dataCentre">;
-    /** Other VMs that are known. */
+    /** Known other VMs. */
     readonly members: readonly KnownMember[];
     /** Whether this VM owns engines. */
     readonly isHub: boolean;
 }
 
-/** Whether the VMs are so few that each is linked to each, by a link of its own. */
+/** Whether the VMs are so few that they form a full mesh, with a link in each direction. */
 export function isMesh(others: number): boolean {
-    return others <= meshVms;
+    return others <= maxMeshPeers;
 }
 
-/** Addresses of the VMs to which a VM opens links by itself and keeps them open. */
+/** Lists the addresses of the VMs to which a VM opens links and keeps them open. */
 export function listWantedLinks(options: WantedLinksOptions): Set<string> {
     const { members, isHub } = options;
     if (isHub || isMesh(members.length)) {
@@ -42,22 +42,22 @@
 }
 
 /**
- * The first VMs, by name, of the own data centre; for one of these also those of all other data centres, so that the VMs
- * which read the store hear of each other.
+ * Lists the first VMs, by name, of the own data centre. One of these VMs is also linked to the first VMs of all other
+ * data centres, so that the readers of the store learn of each other.
  */
 function listNeighbours({ self, members }: WantedLinksOptions): KnownMember[] {
-    const near = listFirst([...members, { ...self, address: "" }], self.dataCentre);
-    if (!near.some(({ id }) => id === self.id)) {
+    const ownNeighbours = listFirst([...members, { ...self, address: "" }], self.dataCentre);
+    if (!ownNeighbours.some(({ id }) => id === self.id)) {
         return listFirst(members, self.dataCentre);
     }
     const centres = new Set(members.map(({ dataCentre }) => dataCentre));
     return [...centres].flatMap(centre => listFirst(members, centre));
 }
 
-/** The first VMs of a data centre, by name. */
+/** Lists the first VMs of a data centre, by name. */
 function listFirst(members: readonly KnownMember[], dataCentre: string | undefined): KnownMember[] {
     return members
         .filter(member => member.dataCentre === dataCentre && member.id !== undefined)
         .sort((left, right) => left.id! < right.id! ? -1 : 1)
-        .slice(0, neighbourVms);
+        .slice(0, neighbourCount);
 }
