--- a/packages/node/src/links/dispatcher.ts
+++ b/packages/node/src/links/dispatcher.ts
@@ -17,16 +17,16 @@
     readonly guard: CrashGuard;
     readonly accounts: AccountGuard;
     readonly admissions: Admissions;
-    /** Undefined before this VM may claim shards. */
+    /** Undefined before this VM may lease shards. */
     readonly readOwning: () => Owning | undefined;
     readonly onChanges: (vm: string, changes: readonly ClusterChange[]) => void;
     readonly onCrashReports: (reports: readonly CrashReport[]) => void;
     readonly onNews: (vm: string, news: readonly EngineNews[]) => void;
-    /** A VM stops and takes no part any more. */
+    /** Called when a VM announces that it is stopping. */
     readonly onLeaving: (vm: string) => void;
 }
 
-/** Hands each message of another VM to the part of the program that it is for. */
+/** Dispatches each message of another VM to the component that handles it. */
 export class PeerDispatcher {
     constructor(private readonly options: PeerDispatcherOptions) {}
 
@@ -84,7 +84,7 @@
                 return;
             case "prepare":
             case "missing":
-                owning?.engines.receiveWant(message);
+                owning?.engines.receiveLoadMessage(message);
                 return;
             case "release":
                 owning?.recordRelease(vm, message.shards, message.generation);
@@ -94,11 +94,11 @@
                 return;
             case "claimQuery":
                 if (owning !== undefined) {
-                    peers.send(vm, { type: "claimState", ...owning.readClaimState(vm, message) });
+                    peers.send(vm, { type: "claimState", ...owning.readLeaseState(vm, message) });
                 }
                 return;
             case "claimState":
-                owning?.receiveClaimState(vm, message);
+                owning?.receiveLeaseState(vm, message);
                 return;
             case "leaving":
                 peers.recordLeaving(vm);
@@ -112,7 +112,7 @@
         sharing.receivePositions(vm, peers.findDataCentre(vm) ?? "", message.positions, message.canRead);
     }
 
-    /** A VM that cannot read the store by itself needs to know the others. */
+    /** Sends the known VMs to a follower: it cannot read the list of VMs from the store. */
     private sendMembers(vm: string, isWanted: boolean): void {
         const { peers } = this.options;
         if (isWanted) {
--- a/packages/node/src/ownership/engines.ts
+++ b/packages/node/src/ownership/engines.ts
@@ -19,25 +19,25 @@
 import type { AdmissionMessage } from "../requests/admissions.js";
 
 /**
- * How often load and adapters of owned engines are told while they change, in milliseconds. Whether an engine takes orders
- * and can be reached is told at once.
+ * Shortest interval between status messages about load and adapters of owned engines, in milliseconds. A change of
+ * whether an engine accepts orders or can be reached is sent at once.
  */
-const newsIntervalMs = 100;
+const minStatusIntervalMs = 100;
 
 /**
- * How much longer the pause between two such tellings is for each VM that is told, in milliseconds: what one VM hears then
+ * Part of the status interval for each receiving VM, in milliseconds: the number of messages that one VM receives then
  * grows with the engines only.
  */
-const newsPausePerVmMs = 12;
+const statusIntervalPerVmMs = 12;
 
-/** How often an engine is looked at that may not be given orders now, in milliseconds. */
+/** How often the owner checks an engine that may not receive orders now, in milliseconds. */
 const idleCheckMs = 200;
 
-/** When a request that an engine cannot take may find it usable again, in milliseconds: a new owner needs some 2 s. */
-const unusableMs = 1000;
+/** Expected wait reported to a request while its engine cannot be used, in milliseconds: a new owner needs some 2 s. */
+const unusableExpectedMs = 1000;
 
-/** The same for an engine that leaves, in milliseconds: never, so that any other engine is the better choice. */
-const leavingMs = 10_000;
+/** Expected wait reported for a leaving engine, in milliseconds: so long that any other engine is the better choice. */
+const leavingExpectedMs = 10_000;
 
 /** Options of {@link OwnedEngines}. */
 export interface OwnedEnginesOptions {
@@ -46,66 +46,66 @@
     readonly orders: EngineOrders;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** Time that goes on while the VM is suspended, in milliseconds. @default readTime */
+    /** Time that includes suspension of the VM, in milliseconds. @default readTime */
     readonly readBoot?: (() => number) | undefined;
     readonly findService: (name: string) => Service | undefined;
     /** Whether orders may be given to an engine now. */
     readonly mayOrder: (name: string) => boolean;
     /** Fencing token for the orders to an engine. */
     readonly readFence: (name: string) => number;
-    /** Why orders to an engine may be given from now on: fields of its decision line. */
+    /** Fields of the log line which explain why orders to an engine are allowed from now on. */
     readonly explainOrders?: (name: string) => object;
-    /** @default timers of this process */
+    /** @default the timers of this process */
     readonly timers?: Timers;
     readonly sendNews: (news: EngineNews[]) => void;
     readonly sendAnswer: (vm: string, answer: AdmissionAnswer) => void;
-    /** An answer of an engine says that it leaves. */
+    /** Called when a response of an engine announces that the engine is leaving. */
     readonly onLeaving?: ((engine: string) => void) | undefined;
-    /** Other VMs that may be running, connected or not. */
+    /** Counts the other VMs that may be running, connected or not. */
     readonly countOthers: () => number;
 }
 
 interface OwnedEngine {
     readonly id: string;
     readonly name: string;
-    readonly places: EnginePlaces;
+    readonly planner: EnginePlaces;
     readonly admission: EngineAdmission;
     fence: number;
     revision: number;
-    lastNews: string;
-    isWorking: boolean;
-    /** An order is on its way: sent or about to be, and not answered. */
+    lastStatus: string;
+    isStepRunning: boolean;
+    /** Whether an order is being sent or waits for its outcome. */
     isOrdering: boolean;
     timer: ScheduledRun | undefined;
     canOrder: boolean;
-    /** When this VM became its owner. */
-    readonly claimedAt: number;
-    /** Whether a request has been let in since then. */
-    hasServed: boolean;
-    /** Whether its last report said that it holds no base model. */
+    /** When this VM became the owner, in milliseconds. */
+    readonly ownedSince: number;
+    /** Whether this owner has admitted a request. */
+    hasAdmitted: boolean;
+    /** Whether the engine's last report listed no base model. */
     wasEmpty: boolean;
 }
 
-/** News that are gathered while owned engines are updated. */
-interface UntoldNews {
+/** Statuses collected during an update of the owned engines, to be sent in one message. */
+interface PendingStatuses {
     readonly changed: Set<OwnedEngine>;
-    readonly givenUp: EngineNews[];
+    readonly released: EngineNews[];
 }
 
-/** The engines that this VM owns: it alone gives them orders, lets requests in, and tells all VMs what they hold. */
+/** The engines that this VM owns: it alone gives them orders, admits requests and reports their state to all VMs. */
 export class OwnedEngines {
     private readonly engines = new Map<string, OwnedEngine>();
     private readonly timers: Timers;
     private readonly readBoot: () => number;
-    /** Runs while there are engines: most VMs of a large fleet own none. */
-    private newsTimer: ScheduledRun | undefined;
-    /** Time between two runs of it, in milliseconds. */
-    private newsPauseMs = 0;
-    /** Orders that may still come to their engines, and the names of these. They outlast the ownership. */
-    private readonly underWay = new Map<Promise<void>, string>();
+    /** Runs only while this VM owns engines: most VMs of a large fleet own none. */
+    private statusTimer: ScheduledRun | undefined;
+    /** Interval of the status timer, in milliseconds; 0 while it is stopped. */
+    private statusIntervalMs = 0;
+    /** Orders that may still arrive, with the names of their engines. They are kept after ownership ends. */
+    private readonly ordersInFlight = new Map<Promise<void>, string>();
     private isStopped = false;
-    /** What others are told at the end of an update; undefined outside of one. */
-    private untold: UntoldNews | undefined;
+    /** Statuses to send at the end of the current update; undefined outside an update. */
+    private pendingStatuses: PendingStatuses | undefined;
 
     constructor(private readonly options: OwnedEnginesOptions) {
         this.timers = options.timers ?? processTimers;
@@ -125,21 +125,21 @@
         });
     }
 
-    /** Looks again at which engines exist and which of them this VM owns. */
+    /** Adds engines that this VM now owns, and removes those that are gone or no longer owned. */
     update(isOwned: (name: string) => boolean): void {
         this.runUpdate(() => this.updateEngines(isOwned));
     }
 
-    /** A deal changes many engines: all that it changes is told at once. */
+    /** Sends all statuses that an update changes in one message: an assignment changes many engines. */
     private runUpdate(update: () => void): void {
-        const untold: UntoldNews = { changed: new Set(), givenUp: [] };
-        this.untold = untold;
+        const pending: PendingStatuses = { changed: new Set(), released: [] };
+        this.pendingStatuses = pending;
         update();
-        this.untold = undefined;
-        const kept = [...untold.changed].filter(owned => this.engines.get(owned.id) === owned);
-        const news = [...untold.givenUp, ...this.listChanges(kept)];
-        if (news.length > 0) {
-            this.options.sendNews(news);
+        this.pendingStatuses = undefined;
+        const stillOwned = [...pending.changed].filter(owned => this.engines.get(owned.id) === owned);
+        const statuses = [...pending.released, ...this.listChanges(stillOwned)];
+        if (statuses.length > 0) {
+            this.options.sendNews(statuses);
         }
     }
 
@@ -160,12 +160,12 @@
         }
     }
 
-    /** Waits until no order to these engines may come to them any more: usually some 5 ms, and 0.34 s at most. */
-    async waitOrders(isMeant: (name: string) => boolean): Promise<void> {
-        await Promise.all([...this.underWay].filter(([, name]) => isMeant(name)).map(([end]) => end));
+    /** Waits until no order to the selected engines can still arrive: usually some 5 ms, at most 0.34 s. */
+    async waitOrders(isSelected: (name: string) => boolean): Promise<void> {
+        await Promise.all([...this.ordersInFlight].filter(([, name]) => isSelected(name)).map(([end]) => end));
     }
 
-    /** Takes word of a request from its VM. */
+    /** Handles a message about a request from the VM that serves it. */
     receiveRequest(vm: string, message: AdmissionMessage): void {
         const owned = this.engines.get(message.engine);
         if (owned === undefined) {
@@ -177,7 +177,7 @@
         const now = this.options.readTime();
         switch (message.type) {
             case "admit":
-                this.options.sendAnswer(vm, this.ask(owned, vm, message.request, now));
+                this.options.sendAnswer(vm, this.admitRequest(owned, vm, message.request, now));
                 break;
             case "begun":
                 owned.admission.begin(vm, message.ticket);
@@ -187,7 +187,7 @@
                 break;
             case "runs":
                 if (!owned.admission.setRuns(vm, message.requests, now)) {
-                    // Each VM tells its runs when an engine has a new owner; mostly there are none.
+                    // Each VM lists its running requests for a new owner; mostly there are none.
                     return;
                 }
                 break;
@@ -195,8 +195,8 @@
         this.advance(owned);
     }
 
-    /** Takes word of an adapter that will be, or was, asked for. */
-    receiveWant(message: Extract<PeerMessage, { type: "prepare" | "missing"; }>): void {
+    /** Handles a message about an adapter that a request will need, or that an engine lacked. */
+    receiveLoadMessage(message: Extract<PeerMessage, { type: "prepare" | "missing"; }>): void {
         if (message.type === "prepare") {
             this.prepare(message.engine, message.want);
         }
@@ -205,11 +205,11 @@
         }
     }
 
-    /** Loads an adapter on an engine for requests to come. */
-    prepare(engine: string, want: AdapterWant): void {
+    /** Requests the load of an adapter on an engine before requests for it arrive. */
+    prepare(engine: string, loadRequest: AdapterWant): void {
         const owned = this.engines.get(engine);
         if (owned !== undefined) {
-            owned.places.addWant(want, this.options.readTime());
+            owned.planner.addWant(loadRequest, this.options.readTime());
             this.advance(owned);
         }
     }
@@ -217,58 +217,58 @@
     recordMissing(engine: string, key: string): void {
         const owned = this.engines.get(engine);
         if (owned !== undefined) {
-            owned.places.recordMissing(key, this.options.readTime());
+            owned.planner.recordMissing(key, this.options.readTime());
             this.advance(owned);
         }
     }
 
-    /** A newer version of an adapter exists: engines that hold an older one load it. */
+    /** Requests the load of a new adapter version on the owned engines that hold the adapter. */
     updateVersion(key: string, version: number): void {
         for (const owned of this.engines.values()) {
-            if (key in owned.places.listHeld()) {
-                owned.places.addWant({ key, version, runMs: 0, onTimeMs: 0 }, this.options.readTime());
+            if (key in owned.planner.listHeld()) {
+                owned.planner.addWant({ key, version, runMs: 0, onTimeMs: 0 }, this.options.readTime());
                 this.advance(owned);
             }
         }
     }
 
-    /** Tells the whole state again, for a VM that has just connected. */
+    /** Statuses of all owned engines, for a VM that has just connected. */
     listNews(): EngineNews[] {
-        return [...this.engines.values()].map(owned => this.createNews(owned));
+        return [...this.engines.values()].map(owned => this.createStatus(owned));
     }
 
-    private ask(
+    private admitRequest(
         owned: OwnedEngine,
         vm: string,
         request: Extract<AdmissionMessage, { type: "admit"; }>["request"],
         now: number,
     ): AdmissionAnswer {
         if (!this.options.view.isUsable(owned.id)) {
-            return { kind: "declined", ticket: request.ticket, expectedMs: leavingMs };
+            return { kind: "declined", ticket: request.ticket, expectedMs: leavingExpectedMs };
         }
-        if (!owned.places.isReachable) {
-            return { kind: "declined", ticket: request.ticket, expectedMs: unusableMs };
+        if (!owned.planner.isReachable) {
+            return { kind: "declined", ticket: request.ticket, expectedMs: unusableExpectedMs };
         }
-        const answer = owned.admission.ask(vm, request, now);
-        this.recordServed(owned, [answer], now);
-        return answer;
+        const reply = owned.admission.ask(vm, request, now);
+        this.recordFirstAdmission(owned, [reply], now);
+        return reply;
     }
 
-    /** Tells when an engine has let its first request in. */
-    private recordServed(owned: OwnedEngine, answers: readonly AdmissionAnswer[], now: number): void {
-        if (!owned.hasServed && answers.some(({ kind }) => kind === "admitted")) {
-            owned.hasServed = true;
-            const sinceClaimedMs = Math.round(now - owned.claimedAt);
+    /** Logs the first admitted request of an engine. */
+    private recordFirstAdmission(owned: OwnedEngine, replies: readonly AdmissionAnswer[], now: number): void {
+        if (!owned.hasAdmitted && replies.some(({ kind }) => kind === "admitted")) {
+            owned.hasAdmitted = true;
+            const sinceClaimedMs = Math.round(now - owned.ownedSince);
             this.options.log.recordImportant("engineFirstRequest", { engine: owned.id, sinceClaimedMs });
         }
     }
 
-    /** Tells when an engine that held no base model has reported one. */
+    /** Logs when an engine's report starts or stops listing a base model. */
     private recordModels(owned: OwnedEngine, now: number): void {
-        const { isEmpty } = owned.places;
+        const { isEmpty } = owned.planner;
         if (isEmpty !== owned.wasEmpty) {
             owned.wasEmpty = isEmpty;
-            const sinceClaimedMs = Math.round(now - owned.claimedAt);
+            const sinceClaimedMs = Math.round(now - owned.ownedSince);
             this.options.log.recordImportant(isEmpty ? "engineEmpty" : "engineHasModel", {
                 engine: owned.id,
                 sinceClaimedMs,
@@ -278,7 +278,7 @@
 
     private add(state: UpstreamState): void {
         const { id, name, models, sequence } = state.upstream;
-        const places = new EnginePlaces({
+        const planner = new EnginePlaces({
             limits: this.options.findService(state.upstream.service)!.engine!,
             models,
             held: state.news?.held ?? {},
@@ -290,31 +290,33 @@
         const owned: OwnedEngine = {
             id,
             name,
-            places,
+            planner,
             admission: new EngineAdmission({
                 engine: id,
-                places,
+                places: planner,
                 mayUse: (key, held, oldest) => this.mayUse(key, held, oldest),
             }),
             fence: this.options.readFence(name),
             revision: 0,
-            lastNews: "",
-            isWorking: false,
+            lastStatus: "",
+            isStepRunning: false,
             isOrdering: false,
             timer: undefined,
             canOrder: false,
-            claimedAt: this.options.readTime(),
-            hasServed: false,
+            ownedSince: this.options.readTime(),
+            hasAdmitted: false,
             wasEmpty: false,
         };
         this.engines.set(id, owned);
-        this.updateNewsTimer();
+        this.updateStatusTimer();
         this.options.log.recordImportant("engineClaimed", { engine: id, fence: owned.fence });
         this.advance(owned);
         this.sendChanges([owned]);
     }
 
-    /** Whether a held version of an adapter may answer, by what the request asks for and what this VM knows. */
+    /**
+     * Whether a loaded adapter version may serve a request, by its oldest allowed version and the versions known here.
+     */
     private mayUse(key: string, held: number, oldest: number | undefined): boolean {
         return held >= (oldest ?? -Infinity) && this.options.view.versions.mayUse(key, held, this.readBoot());
     }
@@ -327,31 +329,31 @@
         owned.timer?.cancel();
         this.engines.delete(id);
         if (this.engines.size === 0) {
-            this.newsTimer?.cancel();
-            this.newsTimer = undefined;
-            this.newsPauseMs = 0;
+            this.statusTimer?.cancel();
+            this.statusTimer = undefined;
+            this.statusIntervalMs = 0;
         }
         const { fence, isOrdering } = owned;
         this.options.log.recordImportant("engineGivenUp", { engine: id, fence, isOrdering });
         owned.canOrder = false;
-        this.sendAnswers(owned.admission.refuseAll(unusableMs));
+        this.sendReplies(owned.admission.refuseAll(unusableExpectedMs));
         owned.revision += 1;
-        const news = { ...this.createNews(owned), isOwned: false, canOrder: false };
-        if (this.untold === undefined) {
-            this.options.sendNews([news]);
+        const status = { ...this.createStatus(owned), isOwned: false, canOrder: false };
+        if (this.pendingStatuses === undefined) {
+            this.options.sendNews([status]);
         }
         else {
-            this.untold.givenUp.push(news);
+            this.pendingStatuses.released.push(status);
         }
     }
 
-    private sendAnswers(answers: readonly AddressedAnswer[]): void {
-        for (const { vm, answer } of answers) {
+    private sendReplies(replies: readonly AddressedAnswer[]): void {
+        for (const { vm, answer } of replies) {
             this.options.sendAnswer(vm, answer);
         }
     }
 
-    /** Lets in what can be let in, and takes the next step for the engine, unless one is under way. */
+    /** Admits the requests that can be admitted, and starts the next step for the engine unless a step is running. */
     private advance(owned: OwnedEngine): void {
         if (this.isStopped || this.engines.get(owned.id) !== owned) {
             return;
@@ -359,24 +361,24 @@
         const now = this.options.readTime();
         const isUsable = this.options.view.isUsable(owned.id);
         if (!isUsable) {
-            // Loads end seconds later: what waits for one must not be sent to an engine that leaves.
-            this.sendAnswers(owned.admission.refuseAll(leavingMs));
+            // A load may take seconds; requests that wait for it must not be admitted to an engine that is leaving.
+            this.sendReplies(owned.admission.refuseAll(leavingExpectedMs));
         }
-        const answers = owned.admission.advance(now);
-        this.recordServed(owned, answers.map(({ answer }) => answer), now);
-        this.sendAnswers(answers);
-        if (owned.isWorking) {
+        const replies = owned.admission.advance(now);
+        this.recordFirstAdmission(owned, replies.map(({ answer }) => answer), now);
+        this.sendReplies(replies);
+        if (owned.isStepRunning) {
             return;
         }
         owned.timer?.cancel();
         const state = this.options.view.findUpstream(owned.id);
         this.updateCanOrder(owned);
-        // A report may be asked for before orders may be given: what the engine holds stays in use meanwhile.
-        if (state === undefined || !isUsable || (!owned.canOrder && !owned.places.needsReport)) {
+        // Reports may be read before orders are allowed; loaded adapters stay in use meanwhile.
+        if (state === undefined || !isUsable || (!owned.canOrder && !owned.planner.needsReport)) {
             this.scheduleAdvance(owned, idleCheckMs);
             return;
         }
-        const step = owned.places.decide(now, key => owned.admission.countUses(key));
+        const step = owned.planner.decide(now, key => owned.admission.countUses(key));
         switch (step.kind) {
             case "wait":
                 this.scheduleAdvance(owned, Math.max(1, step.untilMs - now));
@@ -410,21 +412,21 @@
     }
 
     private async runReport(owned: OwnedEngine, state: UpstreamState): Promise<void> {
-        owned.isWorking = true;
+        owned.isStepRunning = true;
         const askedAt = this.options.readTime();
-        const wasReachable = owned.places.isReachable;
+        const wasReachable = owned.planner.isReachable;
         const report = await this.options.orders.readReport(
             state.upstream,
             () => this.options.onLeaving?.(owned.id),
         );
         const now = this.options.readTime();
         if (report.isErr()) {
-            owned.places.recordReportFailure(report.error === "unknown", now);
+            owned.planner.recordReportFailure(report.error === "unknown", now);
             this.options.log.record("engineReport", { engine: owned.id, failure: report.error });
         }
         else {
             const { sequence, coming, models } = report.value;
-            owned.places.applyReport(report.value, askedAt, now);
+            owned.planner.applyReport(report.value, askedAt, now);
             this.recordModels(owned, now);
             this.options.log.record("engineReport", { engine: owned.id, sequence, coming, held: models });
         }
@@ -432,21 +434,21 @@
     }
 
     private async runOrder(owned: OwnedEngine, state: UpstreamState, order: EngineOrder): Promise<void> {
-        owned.isWorking = true;
+        owned.isStepRunning = true;
         owned.isOrdering = true;
         owned.fence = Math.max(owned.fence, this.options.readFence(owned.name));
         const sentAt = this.options.readTime();
-        const wasReachable = owned.places.isReachable;
+        const wasReachable = owned.planner.isReachable;
         const sending = this.options.orders.send(state.upstream, order, {
             holder: this.options.vm,
             fence: owned.fence,
             checkBeforeSend: () => this.options.mayOrder(owned.name),
         }, () => this.options.onLeaving?.(owned.id));
-        this.recordUnderWay(owned.name, sending);
-        const answer = await sending;
+        this.recordOrderInFlight(owned.name, sending);
+        const outcome = await sending;
         owned.isOrdering = false;
         const now = this.options.readTime();
-        owned.places.applyAnswer(order, answer, now);
+        owned.planner.applyAnswer(order, outcome, now);
         this.options.log.record("order", {
             engine: owned.id,
             action: order.action,
@@ -454,22 +456,22 @@
             version: order.version,
             sequence: order.expectedSequence,
             fence: owned.fence,
-            answer,
-            places: owned.places.countPlaces(now, key => owned.admission.countUses(key)),
+            answer: outcome,
+            places: owned.planner.countPlaces(now, key => owned.admission.countUses(key)),
             waiting: owned.admission.waitingCount,
             ms: Math.round(now - sentAt),
         });
         this.finishStep(owned, wasReachable);
     }
 
-    private recordUnderWay(name: string, sending: Promise<OrderAnswer>): void {
-        const end = this.waitArrival(sending).finally(() => this.underWay.delete(end));
-        this.underWay.set(end, name);
+    private recordOrderInFlight(name: string, sending: Promise<OrderAnswer>): void {
+        const end = this.waitArrival(sending).finally(() => this.ordersInFlight.delete(end));
+        this.ordersInFlight.set(end, name);
     }
 
     /**
-     * Waits until an order has come to its engine or never will. One without an answer may come after it was given up; when it
-     * was written is not known, since its connection was opened first.
+     * Waits until an order has arrived at its engine or cannot arrive any more. An order whose outcome is unknown may
+     * arrive late; the time of its write is unknown as well, since its connection was opened first.
      */
     private async waitArrival(sending: Promise<OrderAnswer>): Promise<void> {
         if (await sending === "unknown") {
@@ -477,53 +479,53 @@
         }
     }
 
-    /** @param wasReachable Whether the engine could be reached before the step, or has been now. */
+    /** @param wasReachable Whether the engine was reachable before the step, or the step reached it. */
     private finishStep(owned: OwnedEngine, wasReachable: boolean): void {
-        owned.isWorking = false;
-        if (wasReachable && !owned.places.isReachable) {
-            this.sendAnswers(owned.admission.refuseAll(unusableMs));
+        owned.isStepRunning = false;
+        if (wasReachable && !owned.planner.isReachable) {
+            this.sendReplies(owned.admission.refuseAll(unusableExpectedMs));
             this.sendChanges([owned]);
         }
         this.advance(owned);
     }
 
-    private createNews(owned: OwnedEngine): EngineNews {
-        const { places, admission } = owned;
+    private createStatus(owned: OwnedEngine): EngineNews {
+        const { planner, admission } = owned;
         return {
             engine: owned.id,
             fence: owned.fence,
             revision: owned.revision,
             isOwned: true,
-            canOrder: owned.canOrder && places.isReachable,
-            isReachable: places.isReachable,
-            held: places.listHeld(),
-            coming: places.listComing(),
+            canOrder: owned.canOrder && planner.isReachable,
+            isReachable: planner.isReachable,
+            held: planner.listHeld(),
+            coming: planner.listComing(),
             waitMs: Math.round(admission.readNextTurnMs(this.options.readTime())),
-            coldLoadMs: Math.round(places.readLoadMs(false)),
-            warmLoadMs: Math.round(places.readLoadMs(true)),
+            coldLoadMs: Math.round(planner.readLoadMs(false)),
+            warmLoadMs: Math.round(planner.readLoadMs(true)),
             load: { ...admission.load },
         };
     }
 
     private sendDueChanges(): void {
-        this.updateNewsTimer();
+        this.updateStatusTimer();
         this.sendChanges([...this.engines.values()]);
     }
 
-    /** Lets the timer run as often as the VMs that are told allow: each run of it wakes the process. */
-    private updateNewsTimer(): void {
-        const pauseMs = Math.max(newsIntervalMs, this.options.countOthers() * newsPausePerVmMs);
-        if (pauseMs !== this.newsPauseMs) {
-            this.newsPauseMs = pauseMs;
-            this.newsTimer?.cancel();
-            this.newsTimer = this.timers.scheduleEvery(() => this.sendDueChanges(), pauseMs);
+    /** Sets the interval of the status timer by the number of receiving VMs: each run wakes the process. */
+    private updateStatusTimer(): void {
+        const intervalMs = Math.max(minStatusIntervalMs, this.options.countOthers() * statusIntervalPerVmMs);
+        if (intervalMs !== this.statusIntervalMs) {
+            this.statusIntervalMs = intervalMs;
+            this.statusTimer?.cancel();
+            this.statusTimer = this.timers.scheduleEvery(() => this.sendDueChanges(), intervalMs);
         }
     }
 
-    /** Tells all VMs what has changed since the last time. */
+    /** Sends the statuses that have changed since they were last sent, or adds them to the current update. */
     private sendChanges(engines: readonly OwnedEngine[]): void {
-        if (this.untold !== undefined) {
-            engines.forEach(owned => this.untold?.changed.add(owned));
+        if (this.pendingStatuses !== undefined) {
+            engines.forEach(owned => this.pendingStatuses?.changed.add(owned));
             return;
         }
         const changed = this.listChanges(engines);
@@ -532,16 +534,16 @@
         }
     }
 
-    /** What has changed since the last time; it counts as told. */
+    /** Lists the statuses that have changed since the last call, and records them as sent. */
     private listChanges(engines: readonly OwnedEngine[]): EngineNews[] {
         const changed: EngineNews[] = [];
         for (const owned of engines) {
-            const news = this.createNews(owned);
-            const text = JSON.stringify({ ...news, revision: 0 });
-            if (text !== owned.lastNews) {
-                owned.lastNews = text;
+            const status = this.createStatus(owned);
+            const text = JSON.stringify({ ...status, revision: 0 });
+            if (text !== owned.lastStatus) {
+                owned.lastStatus = text;
                 owned.revision += 1;
-                changed.push({ ...news, revision: owned.revision });
+                changed.push({ ...status, revision: owned.revision });
             }
         }
         return changed;
--- a/packages/node/src/ownership/owning.ts
+++ b/packages/node/src/ownership/owning.ts
@@ -3,59 +3,63 @@
 import type { Member, ShardClaims } from "../ports.js";
 import { OwnedEngines, type OwnedEnginesOptions } from "./engines.js";
 
-/** How often claims are renewed, in milliseconds: two renewals may be lost before a claim lapses. */
+/** Interval of lease renewals, in milliseconds: two renewals may be lost before a lease expires. */
 const renewMs = 400;
 
-/** How long a new holder is confirmed before it orders, beyond the time of use, in milliseconds: two renewals. */
-const claimSettleMs = 2 * renewMs;
+/** Extra wait of a new holder before its first order, beyond the lease duration, in milliseconds: two renewals. */
+const leaseSafetyMarginMs = 2 * renewMs;
 
-/** A VM that holds no shard renews once in so many times: it only waits to be dealt one, and may be silent for 2.8 s. */
-const idleRenewals = 3;
+/** A VM without shards renews on every third tick only: it waits for an assignment, and its membership lasts 2.8 s. */
+const idleRenewalDivisor = 3;
 
-/** Other VMs are asked about claims once the last answered renewal is this old, in milliseconds. */
-const askPeersAfterMs = 550;
+/** Age of the last confirmed renewal at which a holder queries the other VMs, in milliseconds. */
+const peerQueryAfterMs = 550;
 
 /**
- * A renewal without an answer for this long shows that its VM is cut off from the store, in milliseconds: usual answers take
- * 4 ms. Two queries after an outage began most VMs can say so, before the first claims lapse.
+ * A VM whose renewal has had no response for this long counts as cut off from the store, in milliseconds. Responses
+ * usually take 4 ms. Two queries after the start of an outage most VMs can report it, before the first leases expire.
  */
-const unansweredMs = 300;
+const cutOffAfterMs = 300;
 
-/** What was tried longer ago than this tells nothing of the store now, in milliseconds: idle VMs try every 1.2 s. */
-const triedLatelyMs = 1600;
+/** Older renewal attempts say nothing about the store now, in milliseconds: VMs without shards renew every 1.2 s. */
+const recentAttemptMs = 1600;
 
 /**
- * How long word that a VM goes on for another one counts, in milliseconds: it asks every 0.4 s, may go on for 1.3 s, and its
- * orders must be a turn of 3 s old.
+ * How long a report counts that one VM holds the shards handed over by another, in milliseconds. The receiver of the
+ * handover sends queries every 0.4 s, may use the shards for 1.3 s, and its last order must be 3 s old before another
+ * holder's.
  */
-const takenOverMs = 5000;
+const takeoverReportValidMs = 5000;
 
-/** How often a new process asks whether another VM goes on in its place, in milliseconds, and for how long so often. */
-const startQueryMs = 100;
-const startQueriesMs = 2000;
+/**
+ * Interval and duration of the queries by which a new process asks whether its shards were taken over, in milliseconds.
+ */
+const startQueryIntervalMs = 100;
+const startQueryPeriodMs = 2000;
 
 /**
- * How long a start may hold shards that it may not use yet, since too few VMs have heard of it, in milliseconds. Most may be
- * gone for good, and the store deals nothing anew by itself. Links open within some 100 ms, after a cut within 500 ms.
+ * How long a restarted VM holds shards while too few VMs confirm its start, in milliseconds, before it requests a new
+ * assignment. Most VMs may be gone for good, and the store does not reassign shards by itself. Links open within some
+ * 100 ms, after a cut within 500 ms.
  */
-const unheardStartMs = 3000;
+const unconfirmedStartMs = 3000;
 
-/** How long a renewal under way is waited for before the group is left, in milliseconds: usual answers take 4 ms. */
+/** Longest wait for a running renewal before the VM leaves the group, in milliseconds: responses usually take 4 ms. */
 const renewalWaitMs = 100;
 
-/** Room for the queries of one process: their numbers tell them from those of the one before. */
-const queriesPerLife = 1000;
+/** Query numbers reserved for one process: replies to queries of its predecessor are told apart by their number. */
+const queriesPerIncarnation = 1000;
 
-/** How long one confirmed renewal lets its holder give orders, in milliseconds. */
-const claimUseMs = 1300;
+/** Lease duration: how long one confirmed renewal lets its holder give orders, in milliseconds. */
+const leaseMs = 1300;
 
-/** Age told for a renewal that is older or never was, in milliseconds. */
+/** Highest reported age of the last renewal, also reported if there was none, in milliseconds. */
 const maxRenewalAgeMs = 1_000_000;
 
-/** What made a VM give shards up. */
+/** Why a VM released shards. */
 type ReleaseReason = "stop" | "renewal" | "toldByPeer";
 
-/** What happens to claims, as it is counted. */
+/** Counted events of shard leases. */
 export type ClaimEvent =
     | "releaseSent"
     | "releaseUsed"
@@ -65,84 +69,87 @@
     | `${ClaimReason}Claim`;
 
 /** Options of owned engines that {@link Owning} sets itself. */
-type OwnedOption = "mayOrder" | "readFence" | "explainOrders" | "readBoot";
+type InternalOption = "mayOrder" | "readFence" | "explainOrders" | "readBoot";
 
 /** Options of {@link Owning}. */
-export interface OwningOptions extends Omit<OwnedEnginesOptions, OwnedOption> {
+export interface OwningOptions extends Omit<OwnedEnginesOptions, InternalOption> {
     readonly claims: ShardClaims;
-    /** Tells this process from others of the same VM: when it started, in milliseconds. */
+    /** Start time of this process in milliseconds; distinguishes it from other processes of the same VM. */
     readonly incarnation: number;
-    /** The process of a VM that was heard of last. */
+    /** Incarnation of the newest known process of a VM. */
     readonly readIncarnation: (vm: string) => number | undefined;
-    /** Two holders of one engine must not give orders within this time of each other, in milliseconds. */
+    /** Minimum time between orders of two holders of one engine, in milliseconds. */
     readonly turnMs: number;
     readonly sendRelease: (shards: number[], generation: number) => void;
-    readonly sendQuery: (query: ClaimQuery) => void;
-    /** Hands shards to one other VM. @returns Whether there is one. */
+    readonly sendQuery: (query: LeaseQuery) => void;
+    /** Hands shards over to one other VM. @returns Whether a VM was available. */
     readonly sendHandover: (handover: Handover) => boolean;
-    /** Keeps for this VM's next start in which deal it gave orders. */
+    /** Stores the generation in which this VM gives orders, for its next start. */
     readonly recordGeneration: (generation: number) => void;
-    /** Counts what happens to claims. */
+    /** Counts events of shard leases. */
     readonly onClaimEvent?: (event: ClaimEvent) => void;
     /** @default a clock of this process */
     readonly bootClock?: BootClock;
 }
 
-/** Shards that a VM hands over while the store is away. */
+/** Shards that a stopping VM hands over while the store is unreachable. */
 export interface Handover {
     readonly shards: number[];
     readonly deal: number;
     readonly depth: number;
-    /** Processes that gave them up, one after the other. */
-    readonly givers: readonly Giver[];
+    /** Processes that handed the shards over, one after the other. */
+    readonly givers: readonly HandoverSource[];
 }
 
 /** A process that handed its shards over. */
-export interface Giver {
+export interface HandoverSource {
     readonly vm: string;
     readonly incarnation: number;
 }
 
-/** A question about claims to all other VMs. */
-export interface ClaimQuery {
+/** Query about shard leases, sent to all other VMs. */
+export interface LeaseQuery {
     readonly query: number;
-    /** The newest deal that the asker knows of. */
+    /** Newest generation that the asking VM knows. */
     readonly newestDeal: number;
-    /** Processes for which the asker goes on. */
-    readonly givers: readonly Giver[];
+    /** Processes whose shards the asking VM took over. */
+    readonly givers: readonly HandoverSource[];
 }
 
-/** What another VM knows of the claims. */
-export interface ClaimState {
+/** Reply to a {@link LeaseQuery}: what the replying VM knows about shard leases. */
+export interface LeaseState {
     readonly query: number;
     readonly generation: number;
-    /** The newest deal that it knows of, from others too. */
+    /** Newest generation that the replying VM knows, also from other VMs. */
     readonly newestDeal: number;
     readonly shards: number[];
     readonly renewalAgeMs: number;
-    /** Whether it has lately tried to renew and got no answer. */
+    /** Whether recent renewals of the replying VM had no response. */
     readonly isCutOff: boolean;
-    /** Whether it knows that one of the givers has started again. */
+    /** Whether the replying VM knows that a handover source has restarted. */
     readonly giversHaveStarted: boolean;
-    /** Whether it knows all of the givers, and that none has started again. */
+    /** Whether the replying VM knows all handover sources and that none has restarted. */
     readonly giversAreGone: boolean;
-    /** Whether another VM has lately said that it goes on for the asker. */
+    /** Whether another VM has recently reported that it took over shards of the asking VM. */
     readonly isTakenOver: boolean;
 }
 
-/** A question to all other VMs, and who has said that it holds none of this VM's shards. */
+/** The newest query to all other VMs, and the replies so far. */
 interface OpenQuery {
     readonly query: number;
     readonly askedAt: number;
-    readonly clear: Set<string>;
-    /** Who knows that none of the VMs for which this one goes on has started again. */
-    readonly goneFor: Set<string>;
+    /** VMs that are cut off from the store and hold none of this VM's shards. */
+    readonly clearedBy: Set<string>;
+    /** VMs that know that no handover source of this VM has restarted. */
+    readonly sourcesGoneBy: Set<string>;
 }
 
-/** Which engines this VM owns: it claims shards of them, keeps the claims through outages, and hands them over. */
+/**
+ * Determines which engines this VM owns: leases their shards, extends the leases during store outages, hands them over.
+ */
 export class Owning {
     readonly engines: OwnedEngines;
-    private readonly clock: ClaimClock;
+    private readonly leases: ClaimClock;
     private readonly timers: Timers;
     private renewTimer: ScheduledRun | undefined;
     private isRenewing = false;
@@ -152,31 +159,31 @@
     private suspendedMs = 0;
     private hasStarted = false;
     private renewedAt = -Infinity;
-    private triedAt = -Infinity;
-    /** When the first renewal since the last answer was sent; undefined if there is none. */
+    private attemptedAt = -Infinity;
+    /** When the first renewal after the last response was sent; undefined if all renewals have responses. */
     private unansweredSince: number | undefined;
     private openQuery: OpenQuery;
-    /** VMs that have answered a query of this process, and so have heard of its start. */
-    private readonly heardBy = new Set<string>();
+    /** VMs that have replied to a query of this process and therefore know that it has started. */
+    private readonly startKnownBy = new Set<string>();
     private wasTakenOver = false;
     private isStartConfirmed = false;
     private startTimer: ScheduledRun | undefined;
-    /** Since when this VM holds shards that it may not use before its start is heard of. */
-    private heldBackSince: number | undefined;
-    /** Processes for which this VM goes on, by VM. */
-    private readonly givers = new Map<string, number>();
-    /** When another VM last said that it goes on for a VM. */
-    private readonly takenOverAt = new Map<string, number>();
+    /** Since when this VM holds shards that it may not use until most VMs know that it has started. */
+    private unusableSince: number | undefined;
+    /** Incarnations of the processes whose shards this VM took over, by VM. */
+    private readonly handoverSources = new Map<string, number>();
+    /** When another VM last reported that it took over shards of a VM, by the latter. */
+    private readonly takeoverReportedAt = new Map<string, number>();
     private recordedGeneration = -1;
-    private renewals = 0;
+    private renewalCount = 0;
 
     constructor(private readonly options: OwningOptions) {
         this.bootClock = options.bootClock ?? new BootClock();
         this.timers = options.timers ?? processTimers;
-        this.openQuery = this.createQuery(options.incarnation * queriesPerLife);
-        this.clock = new ClaimClock({
-            useMs: claimUseMs,
-            settleMs: claimSettleMs,
+        this.openQuery = this.createQuery(options.incarnation * queriesPerIncarnation);
+        this.leases = new ClaimClock({
+            useMs: leaseMs,
+            settleMs: leaseSafetyMarginMs,
             turnMs: options.turnMs,
             startedAt: this.bootClock.read(),
         });
@@ -184,98 +191,105 @@
             ...options,
             readBoot: () => this.bootClock.read(),
             mayOrder: name => this.mayOrder(name),
-            readFence: name => this.clock.readFence(this.findShard(name)),
+            readFence: name => this.leases.readFence(this.findShard(name)),
             explainOrders: name => this.explainOrders(name),
         });
     }
 
     /**
-     * Begins to claim shards.
-     * @param past This VM's entry from before its start; undefined if it never ran. After a planned stop its shards went
-     * to other VMs: it claims some again only when it may use them, so that they stay in use meanwhile.
+     * Starts to lease shards.
+     * @param previousEntry This VM's entry from before its start; undefined if it never ran. After a planned stop its
+     * shards were assigned to other VMs: it joins again only when it may use shards, so that they stay in use
+     * meanwhile.
      */
-    start(past: Member | undefined): void {
-        if (past === undefined) {
-            this.clock.setFirstLife();
+    start(previousEntry: Member | undefined): void {
+        if (previousEntry === undefined) {
+            this.leases.setFirstLife();
             this.isStartConfirmed = true;
         }
         else {
-            this.askAboutStart(this.bootClock.read() + startQueriesMs);
+            this.sendStartQueries(this.bootClock.read() + startQueryPeriodMs);
         }
-        if (past?.generation !== undefined) {
-            this.clock.setRecordedGeneration(past.generation, this.bootClock.read());
+        if (previousEntry?.generation !== undefined) {
+            this.leases.setRecordedGeneration(previousEntry.generation, this.bootClock.read());
         }
-        const waitMs = past?.hasLeft === true ? this.options.turnMs : 0;
+        const waitMs = previousEntry?.hasLeft === true ? this.options.turnMs : 0;
         this.renewTimer = this.timers.scheduleOnce(() => {
             this.hasStarted = true;
             void this.renew();
-            this.renewTimer = this.timers.scheduleEvery(() => this.renewClaims(), renewMs);
+            this.renewTimer = this.timers.scheduleEvery(() => this.renewLeases(), renewMs);
         }, waitMs);
     }
 
-    /** A new process asks whether another VM goes on for the one before it, until most VMs have answered. */
-    private askAboutStart(untilMs: number): void {
+    /** Asks whether another VM holds the shards of the previous process, until most VMs have replied. */
+    private sendStartQueries(untilMs: number): void {
         const now = this.bootClock.read();
         if (this.isStopped || this.isStartConfirmed || now >= untilMs) {
             return;
         }
         this.sendQuery(now);
-        this.checkStart();
-        this.startTimer = this.timers.scheduleOnce(() => this.askAboutStart(untilMs), startQueryMs);
+        this.checkStartConfirmed();
+        this.startTimer = this.timers.scheduleOnce(() => this.sendStartQueries(untilMs), startQueryIntervalMs);
     }
 
-    private checkStart(): void {
-        if (this.isStartConfirmed || !this.isMajority(this.heardBy)) {
+    private checkStartConfirmed(): void {
+        if (this.isStartConfirmed || !this.isMajority(this.startKnownBy)) {
             return;
         }
         this.isStartConfirmed = true;
-        this.clock.recordStartHeard(this.bootClock.read(), this.wasTakenOver);
+        this.leases.recordStartHeard(this.bootClock.read(), this.wasTakenOver);
         this.options.log.recordImportant("startConfirmed", {
-            heardBy: this.heardBy.size,
+            heardBy: this.startKnownBy.size,
             others: this.options.countOthers(),
             wasTakenOver: this.wasTakenOver,
         });
     }
 
-    /** Whether these VMs and this one are most of all. */
+    /** Whether these VMs together with this one are a majority. */
     private isMajority(vms: ReadonlySet<string>): boolean {
         return (vms.size + 1) * 2 > this.options.countOthers() + 1;
     }
 
     /**
-     * Gives everything up and tells the others, so that they need not wait for the claims to lapse. While the store is
-     * away one of them takes the shards over.
+     * Releases all shards and notifies the other VMs, so that they need not wait for the leases to expire. While the
+     * store is unreachable, one of them takes over the shards.
      */
     async stop(): Promise<void> {
         this.isStopped = true;
         this.renewTimer?.cancel();
         this.startTimer?.cancel();
         const now = this.bootClock.read();
-        const shards = this.clock.listReleasable(now);
-        const usable = this.clock.listUsable(now);
-        const deal = this.clock.deal;
-        const depth = 1 + Math.max(0, ...usable.map(shard => this.clock.readDepth(shard)));
-        const handover: Handover = { shards: usable, deal, depth, givers: this.listGivers() };
-        const isCutOff = now - this.renewedAt > askPeersAfterMs;
-        this.clock.releaseAll(now);
+        const releasableShards = this.leases.listReleasable(now);
+        const usableShards = this.leases.listUsable(now);
+        const generation = this.leases.deal;
+        const handoverDepth = 1 + Math.max(0, ...usableShards.map(shard => this.leases.readDepth(shard)));
+        const handover: Handover = {
+            shards: usableShards,
+            deal: generation,
+            depth: handoverDepth,
+            givers: this.listHandoverSources(),
+        };
+        const isCutOff = now - this.renewedAt > peerQueryAfterMs;
+        this.leases.releaseAll(now);
         this.engines.stop();
-        await this.waitOrders([...shards, ...usable]);
-        if (isCutOff && this.sendShards(handover)) {
+        await this.waitOrders([...releasableShards, ...usableShards]);
+        if (isCutOff && this.sendHandover(handover)) {
             return;
         }
-        // Until the store has ended the deal this VM may start again and go on in it: a release that was told before stayed
-        // in force, and the next holder did not wait for the orders of that start.
+        // The release is sent only after this VM has left the group. Until then the VM may restart and give orders in
+        // the same generation; the next holder would trust the earlier release and not wait for these orders.
         await this.waitRenewal();
         if (await this.options.claims.release()) {
-            await this.sendRelease(shards, deal, "stop");
+            await this.sendRelease(releasableShards, generation, "stop");
         }
         else if (!isCutOff) {
-            // The store went away just now. If it has ended the deal all the same, the heir hears of that as any holder does.
-            this.sendShards(handover);
+            // The store became unreachable just now. If it reassigned the shards all the same, the receiver learns this
+            // as any holder does.
+            this.sendHandover(handover);
         }
     }
 
-    private sendShards(handover: Handover): boolean {
+    private sendHandover(handover: Handover): boolean {
         const isSent = handover.shards.length > 0 && this.options.sendHandover(handover);
         if (isSent) {
             this.options.log.recordImportant("handedOver", handover);
@@ -283,56 +297,56 @@
         return isSent;
     }
 
-    /** Takes shards over from a VM that stops. */
+    /** Takes over shards from a VM that stops. */
     receiveHandover(handover: Handover): void {
         if (this.isStopped) {
-            // The sender did not know yet that this VM stops as well.
+            // The sender did not know yet that this VM is stopping as well.
             const isPassedOn = this.options.sendHandover(handover);
             this.options.log.recordImportant("handoverPassedOn", { ...handover, isPassedOn });
             return;
         }
-        const isOld = this.hasAnyStarted(handover.givers);
-        this.options.log.recordImportant("handoverReceived", { ...handover, ownDeal: this.clock.deal, isOld });
+        const isOld = this.hasAnyRestarted(handover.givers);
+        this.options.log.recordImportant("handoverReceived", { ...handover, ownDeal: this.leases.deal, isOld });
         if (isOld) {
             return;
         }
         const now = this.bootClock.read();
-        if (!this.clock.hasHandovers) {
-            // What was taken over before has ended with its deal.
-            this.givers.clear();
+        if (!this.leases.hasHandovers) {
+            // Earlier handovers ended with their generation.
+            this.handoverSources.clear();
         }
-        this.clock.applyHandover(handover.shards, handover.deal, handover.depth, now);
+        this.leases.applyHandover(handover.shards, handover.deal, handover.depth, now);
         for (const { vm, incarnation } of handover.givers) {
-            this.givers.set(vm, incarnation);
+            this.handoverSources.set(vm, incarnation);
         }
         this.update();
         this.sendQuery(now);
     }
 
-    /** A VM has started: what was taken over from it, or from any other, goes back. */
+    /** Handles the start of a VM: ends the use of all shards taken over, from that VM or any other. */
     receiveStart(): void {
-        this.givers.clear();
-        const dropped = this.clock.revokeHandovers(this.bootClock.read());
-        if (dropped.length > 0) {
-            this.options.log.recordImportant("handoverEnded", { shards: dropped });
+        this.handoverSources.clear();
+        const revoked = this.leases.revokeHandovers(this.bootClock.read());
+        if (revoked.length > 0) {
+            this.options.log.recordImportant("handoverEnded", { shards: revoked });
             this.update();
         }
     }
 
     recordRelease(vm: string, shards: readonly number[], generation: number): void {
         const now = this.bootClock.read();
-        const shortened = shards.filter(shard => this.clock.recordRelease(shard, generation, now));
+        const shortened = shards.filter(shard => this.leases.recordRelease(shard, generation, now));
         this.options.onClaimEvent?.(shortened.length > 0 ? "releaseUsed" : "releaseUnused");
-        this.options.log.record("releaseTaken", { vm, shards, generation, ownDeal: this.clock.deal, shortened });
+        this.options.log.record("releaseTaken", { vm, shards, generation, ownDeal: this.leases.deal, shortened });
         this.update();
     }
 
-    /** Looks again at which engines exist and which of them this VM owns. */
+    /** Updates the owned engines after a change of the leases or of the known engines. */
     update(): void {
         if (this.isStopped) {
             return;
         }
-        const shards = new Set(this.clock.listShards());
+        const shards = new Set(this.leases.listShards());
         if (shards.size === 0 && !this.engines.hasAny) {
             return;
         }
@@ -344,16 +358,16 @@
     }
 
     private explainOrders(name: string): object {
-        const claim = this.clock.explainClaim(this.findShard(name));
-        if (claim !== undefined) {
-            this.options.onClaimEvent?.(`${claim.reason}Claim`);
+        const lease = this.leases.explainClaim(this.findShard(name));
+        if (lease !== undefined) {
+            this.options.onClaimEvent?.(`${lease.reason}Claim`);
         }
-        return { ...claim, renewalAgeMs: Math.round(this.renewalAgeMs) };
+        return { ...lease, renewalAgeMs: Math.round(this.renewalAgeMs) };
     }
 
     /**
-     * Tells the others of shards given up in a deal, once their last orders have come to their end: the next holder begins
-     * at once, and its first order overtook one that was on its way.
+     * Notifies the other VMs of released shards, once the last orders to their engines cannot arrive any more: the next
+     * holder starts at once, and its first order could overtake an order in flight.
      */
     private async sendRelease(shards: number[], generation: number, why: ReleaseReason): Promise<void> {
         if (shards.length === 0) {
@@ -371,89 +385,95 @@
 
     private mayOrder(name: string): boolean {
         this.checkSuspension();
-        return this.clock.canOrder(this.findShard(name), this.bootClock.read());
+        return this.leases.canOrder(this.findShard(name), this.bootClock.read());
     }
 
-    /** A claim must be confirmed anew after a suspension, whatever is left of it. */
+    /** After a suspension of the VM a lease must be confirmed again, whatever remains of it. */
     private checkSuspension(): void {
         this.bootClock.read();
         const { suspendedMs } = this.bootClock;
         if (suspendedMs > this.suspendedMs) {
             this.options.log.recordImportant("suspended", { ms: Math.round(suspendedMs - this.suspendedMs) });
             this.suspendedMs = suspendedMs;
-            this.clock.pause();
+            this.leases.pause();
             void this.renew();
         }
     }
 
-    /** Age of the last renewal that was answered, counted from its sending, in milliseconds. */
+    /** Age of the last confirmed renewal, counted from its sending, in milliseconds. */
     get renewalAgeMs(): number {
         return Math.min(this.bootClock.read() - this.renewedAt, maxRenewalAgeMs);
     }
 
     /**
-     * Whether this VM has tried to reach the store of late, and failed. That it has not tried says nothing: most VMs hold no
-     * shard and renew seldom, and a majority of them let a holder go on whose shards the store had dealt away.
+     * Whether recent attempts of this VM to reach the store failed. A VM without recent attempts does not count as cut
+     * off: most VMs hold no shard and renew seldom, and a majority of them would extend the lease of a holder whose
+     * shards the store has reassigned.
      */
     private get isCutOff(): boolean {
         const now = this.bootClock.read();
-        return this.unansweredSince !== undefined && now - this.unansweredSince >= unansweredMs
-            && now - this.triedAt < triedLatelyMs;
+        return this.unansweredSince !== undefined && now - this.unansweredSince >= cutOffAfterMs
+            && now - this.attemptedAt < recentAttemptMs;
     }
 
-    /** This process and those for which it goes on. */
-    private listGivers(): Giver[] {
+    /** This process, and those whose shards it took over. */
+    private listHandoverSources(): HandoverSource[] {
         const { vm, incarnation } = this.options;
-        const givers = this.clock.hasHandovers ? [...this.givers] : [];
-        return [{ vm, incarnation }, ...givers.map(([giver, life]) => ({ vm: giver, incarnation: life }))];
+        const sources = this.leases.hasHandovers ? [...this.handoverSources] : [];
+        return [
+            { vm, incarnation },
+            ...sources.map(([vmId, sourceIncarnation]) => ({ vm: vmId, incarnation: sourceIncarnation })),
+        ];
     }
 
-    /** Whether one of these processes is known to have been followed by another one of its VM. */
-    private hasAnyStarted(givers: readonly Giver[]): boolean {
-        return givers.some(({ vm, incarnation }) => (this.options.readIncarnation(vm) ?? incarnation) !== incarnation);
+    /** Whether a newer process is known for the VM of one of these processes. */
+    private hasAnyRestarted(sources: readonly HandoverSource[]): boolean {
+        return sources.some(({ vm, incarnation }) => (this.options.readIncarnation(vm) ?? incarnation) !== incarnation);
     }
 
-    private recordTakenOver(givers: readonly Giver[], now: number): void {
-        for (const { vm } of givers) {
-            this.takenOverAt.set(vm, now);
+    private recordTakeovers(sources: readonly HandoverSource[], now: number): void {
+        for (const { vm } of sources) {
+            this.takeoverReportedAt.set(vm, now);
         }
     }
 
-    /** What this VM knows of the claims, for one that asks. One that has not heard of the store lately tries it for the asker. */
-    readClaimState(vm: string, { query, givers, newestDeal }: ClaimQuery): ClaimState {
+    /**
+     * Creates the reply to a query. A VM whose last confirmed renewal is old renews, to learn the state of the store.
+     */
+    readLeaseState(vm: string, { query, givers, newestDeal }: LeaseQuery): LeaseState {
         const now = this.bootClock.read();
-        this.clock.recordDeal(newestDeal);
-        this.recordTakenOver(givers, now);
-        if (this.hasStarted && this.renewalAgeMs > askPeersAfterMs) {
+        this.leases.recordDeal(newestDeal);
+        this.recordTakeovers(givers, now);
+        if (this.hasStarted && this.renewalAgeMs > peerQueryAfterMs) {
             void this.renew();
         }
         return {
             query,
-            generation: this.clock.deal,
-            newestDeal: this.clock.newestDeal,
-            shards: this.clock.listShards(),
+            generation: this.leases.deal,
+            newestDeal: this.leases.newestDeal,
+            shards: this.leases.listShards(),
             renewalAgeMs: this.renewalAgeMs,
             isCutOff: this.isCutOff,
-            giversHaveStarted: this.hasAnyStarted(givers),
+            giversHaveStarted: this.hasAnyRestarted(givers),
             giversAreGone: givers.every(giver => this.options.readIncarnation(giver.vm) === giver.incarnation),
-            isTakenOver: now - (this.takenOverAt.get(vm) ?? -Infinity) < takenOverMs,
+            isTakenOver: now - (this.takeoverReportedAt.get(vm) ?? -Infinity) < takeoverReportValidMs,
         };
     }
 
-    /** Takes another VM's answer to a query. */
-    receiveClaimState(vm: string, state: ClaimState): void {
+    /** Handles another VM's reply to a query. */
+    receiveLeaseState(vm: string, state: LeaseState): void {
         const { openQuery } = this;
-        const releasable = this.clock.listReleasable(this.bootClock.read());
-        const dropped = this.clock.revokeShards(state.shards, state.generation, this.bootClock.read());
-        if (dropped.length > 0) {
-            this.options.log.recordImportant("shardsLost", { to: vm, shards: dropped, generation: state.generation });
+        const releasable = this.leases.listReleasable(this.bootClock.read());
+        const revoked = this.leases.revokeShards(state.shards, state.generation, this.bootClock.read());
+        if (revoked.length > 0) {
+            this.options.log.recordImportant("shardsLost", { to: vm, shards: revoked, generation: state.generation });
             this.update();
-            void this.sendRelease(dropped.filter(shard => releasable.includes(shard)), this.clock.deal, "toldByPeer");
+            void this.sendRelease(revoked.filter(shard => releasable.includes(shard)), this.leases.deal, "toldByPeer");
         }
-        if (state.query > this.options.incarnation * queriesPerLife && state.query <= openQuery.query) {
-            this.heardBy.add(vm);
+        if (state.query > this.options.incarnation * queriesPerIncarnation && state.query <= openQuery.query) {
+            this.startKnownBy.add(vm);
             this.wasTakenOver ||= state.isTakenOver;
-            this.checkStart();
+            this.checkStartConfirmed();
         }
         if (state.giversHaveStarted) {
             this.receiveStart();
@@ -462,87 +482,97 @@
             return;
         }
         if (state.giversAreGone) {
-            openQuery.goneFor.add(vm);
+            openQuery.sourcesGoneBy.add(vm);
         }
-        if (this.clock.hasHandovers && this.isMajority(openQuery.goneFor)) {
-            this.clock.renewHandovers(openQuery.askedAt);
+        if (this.leases.hasHandovers && this.isMajority(openQuery.sourcesGoneBy)) {
+            this.leases.renewHandovers(openQuery.askedAt);
         }
-        const witnessMs = this.clock.applyWitness(state.generation, openQuery.askedAt - state.renewalAgeMs);
-        this.recordProlonged("prolongedByWitness", witnessMs, { vm, renewalAgeMs: state.renewalAgeMs });
-        this.clock.recordDeal(state.newestDeal);
-        const held = this.clock.listShards();
+        const witnessExtensionMs = this.leases.applyWitness(state.generation, openQuery.askedAt - state.renewalAgeMs);
+        this.recordExtension("prolongedByWitness", witnessExtensionMs, { vm, renewalAgeMs: state.renewalAgeMs });
+        this.leases.recordDeal(state.newestDeal);
+        const held = this.leases.listShards();
         if (state.isCutOff && !state.shards.some(shard => held.includes(shard))) {
-            openQuery.clear.add(vm);
+            openQuery.clearedBy.add(vm);
         }
-        // With most VMs cut off from the store it is the store that is away, and deals nothing anew.
-        if (this.isMajority(openQuery.clear)) {
-            const allClearMs = this.clock.applyAllClear(openQuery.askedAt);
-            this.recordProlonged("prolongedByAllClear", allClearMs, { clear: [...openQuery.clear] });
+        // If most VMs are cut off from the store, the store itself is unreachable and reassigns no shards.
+        if (this.isMajority(openQuery.clearedBy)) {
+            const clearExtensionMs = this.leases.applyAllClear(openQuery.askedAt);
+            this.recordExtension("prolongedByAllClear", clearExtensionMs, { clear: [...openQuery.clearedBy] });
         }
     }
 
-    private recordProlonged(by: "prolongedByWitness" | "prolongedByAllClear", ms: number, detail: object): void {
-        if (ms > 0) {
+    private recordExtension(
+        by: "prolongedByWitness" | "prolongedByAllClear",
+        extensionMs: number,
+        detail: object,
+    ): void {
+        if (extensionMs > 0) {
             this.options.onClaimEvent?.(by);
-            this.options.log.record("claimsProlonged", { by, ms: Math.round(ms), deal: this.clock.deal, ...detail });
+            this.options.log.record("claimsProlonged", {
+                by,
+                ms: Math.round(extensionMs),
+                deal: this.leases.deal,
+                ...detail,
+            });
         }
     }
 
-    /** Renews, and asks the other VMs when the store does not answer. */
-    private renewClaims(): void {
-        this.renewals += 1;
-        if (this.clock.listShards().length > 0 || this.renewals % idleRenewals === 0) {
+    /** Renews the leases, and queries the other VMs if the store does not respond. */
+    private renewLeases(): void {
+        this.renewalCount += 1;
+        if (this.leases.listShards().length > 0 || this.renewalCount % idleRenewalDivisor === 0) {
             void this.renew();
         }
         const now = this.bootClock.read();
-        const isInDoubt = now - this.renewedAt > askPeersAfterMs && this.clock.listShards().length > 0;
-        if (isInDoubt) {
+        const isLeaseUncertain = now - this.renewedAt > peerQueryAfterMs && this.leases.listShards().length > 0;
+        if (isLeaseUncertain) {
             this.options.log.record("claimsInDoubt", {
                 renewalAgeMs: Math.min(Math.round(now - this.renewedAt), maxRenewalAgeMs),
-                clear: [...this.openQuery.clear],
+                clear: [...this.openQuery.clearedBy],
                 others: this.options.countOthers(),
             });
         }
-        this.checkStart();
-        const isStartInDoubt = this.clock.isHeldBack(now);
-        this.heldBackSince = isStartInDoubt ? this.heldBackSince ?? now : undefined;
-        if (now - (this.heldBackSince ?? now) > unheardStartMs) {
-            this.heldBackSince = now;
-            void this.renewDeal();
+        this.checkStartConfirmed();
+        const isStartUnconfirmed = this.leases.isHeldBack(now);
+        this.unusableSince = isStartUnconfirmed ? this.unusableSince ?? now : undefined;
+        if (now - (this.unusableSince ?? now) > unconfirmedStartMs) {
+            this.unusableSince = now;
+            void this.renewAssignment();
         }
-        if (isInDoubt || this.clock.hasHandovers || isStartInDoubt) {
+        if (isLeaseUncertain || this.leases.hasHandovers || isStartUnconfirmed) {
             this.sendQuery(now);
         }
-        if (this.clock.isSettled(now) && this.clock.deal !== this.recordedGeneration) {
-            this.recordedGeneration = this.clock.deal;
-            this.options.recordGeneration(this.clock.deal);
+        if (this.leases.isSettled(now) && this.leases.deal !== this.recordedGeneration) {
+            this.recordedGeneration = this.leases.deal;
+            this.options.recordGeneration(this.leases.deal);
         }
     }
 
     /**
-     * Leaves the group and joins it again, so that the store deals anew: under a later deal a start needs no other VM's word.
-     * Without it a VM that starts where most others are gone for good would never use its shards.
+     * Leaves the group and joins it again, so that the store creates a new assignment: in a later generation a start
+     * needs no confirmation by other VMs. Otherwise a VM that restarts where most others are gone for good would never
+     * use its shards.
      */
-    private async renewDeal(): Promise<void> {
+    private async renewAssignment(): Promise<void> {
         await this.waitRenewal();
         const hasLeft = await this.options.claims.release();
         this.options.log.recordImportant("firstDealLeft", {
             hasLeft,
-            deal: this.clock.deal,
-            heardBy: this.heardBy.size,
+            deal: this.leases.deal,
+            heardBy: this.startKnownBy.size,
         });
         void this.renew();
     }
 
     private createQuery(query: number): OpenQuery {
-        return { query, askedAt: this.bootClock.read(), clear: new Set(), goneFor: new Set() };
+        return { query, askedAt: this.bootClock.read(), clearedBy: new Set(), sourcesGoneBy: new Set() };
     }
 
     private sendQuery(now: number): void {
         this.openQuery = { ...this.createQuery(this.openQuery.query + 1), askedAt: now };
-        const [, ...givers] = this.listGivers();
-        this.recordTakenOver(givers, now);
-        this.options.sendQuery({ query: this.openQuery.query, newestDeal: this.clock.newestDeal, givers });
+        const [, ...sources] = this.listHandoverSources();
+        this.recordTakeovers(sources, now);
+        this.options.sendQuery({ query: this.openQuery.query, newestDeal: this.leases.newestDeal, givers: sources });
     }
 
     private renew(): Promise<void> {
@@ -553,8 +583,9 @@
     }
 
     /**
-     * Waits for a renewal under way before the group is left: done after that it would join again, and the store would deal
-     * shards to a process that is gone until its membership lapses. One that takes long is not waited for.
+     * Waits up to {@link renewalWaitMs} for a running renewal before the VM leaves the group. A renewal that reaches
+     * the store after the leave would join the group again, and the store would assign shards to a stopped process
+     * until its membership expires.
      */
     private async waitRenewal(): Promise<void> {
         await Promise.race([
@@ -566,30 +597,30 @@
     private async runRenewal(): Promise<void> {
         this.isRenewing = true;
         const sentAt = this.bootClock.read();
-        this.triedAt = sentAt;
+        this.attemptedAt = sentAt;
         this.unansweredSince ??= sentAt;
-        const deal = await this.options.claims.renew(this.clock.deal);
+        const assignment = await this.options.claims.renew(this.leases.deal);
         this.isRenewing = false;
-        if (deal === undefined || this.isStopped) {
+        if (assignment === undefined || this.isStopped) {
             return;
         }
         this.unansweredSince = undefined;
-        if (deal.generation !== this.clock.deal) {
-            this.options.log.recordImportant("shardsDealt", deal);
+        if (assignment.generation !== this.leases.deal) {
+            this.options.log.recordImportant("shardsDealt", assignment);
         }
-        const held = this.clock.listReleasable(this.bootClock.read());
-        const generation = this.clock.deal;
+        const held = this.leases.listReleasable(this.bootClock.read());
+        const previousGeneration = this.leases.deal;
         this.renewedAt = sentAt;
-        if (!this.clock.applyRenewal(deal.generation, deal.shards, sentAt, this.bootClock.read())) {
+        if (!this.leases.applyRenewal(assignment.generation, assignment.shards, sentAt, this.bootClock.read())) {
             return;
         }
         this.update();
-        if (deal.generation !== generation && deal.shards.length > 0) {
-            // Tells of the deal as well: a holder before it that is cut off from the store and from this VM hears of it from
-            // others, and stops before this VM has waited.
+        if (assignment.generation !== previousGeneration && assignment.shards.length > 0) {
+            // The query also announces the new generation: a previous holder that is cut off from the store and from
+            // this VM learns it from other VMs, and stops before the wait of this VM ends.
             this.sendQuery(this.bootClock.read());
         }
-        const lost = held.filter(shard => !deal.shards.includes(shard));
-        void this.sendRelease(lost, generation, "renewal");
+        const lostShards = held.filter(shard => !assignment.shards.includes(shard));
+        void this.sendRelease(lostShards, previousGeneration, "renewal");
     }
 }
--- a/packages/node/test/group.ts
+++ b/packages/node/test/group.ts
@@ -2,7 +2,7 @@
 import { ok } from "neverthrow";
 import * as assert from "uvu/assert";
 import { BootClock, type Timers } from "../src/clock.js";
-import { type ClaimQuery, type ClaimState, type Handover, Owning } from "../src/ownership/owning.js";
+import { type Handover, type LeaseQuery, type LeaseState, Owning } from "../src/ownership/owning.js";
 import type { EngineOrders, Member, ShardDeal } from "../src/ports.js";
 import { createSilentLog, createUpstream, engineService } from "./fixtures.js";
 import { Schedule } from "./schedule.js";
@@ -10,15 +10,15 @@
 /** Shards of the group; each has one engine. */
 export const shardCount = 4;
 
-const turnMs = 3000;
-const lifeMs = 2800;
-const answerTimeoutMs = 700;
+const holderGapMs = 3000;
+const membershipMs = 2800;
+const replyTimeoutMs = 700;
 const orderTimeoutMs = 90;
 /** An order that is longer on its way than this never comes. */
 const lostOrderMs = 250;
 const linkSilenceMs = 1500;
 const linkBackoffMs = 500;
-const wantIntervalMs = 60;
+const loadRequestIntervalMs = 60;
 const stopMs = 2300;
 
 const engineNames = Array.from({ length: shardCount }, (_, shard) => {
@@ -40,8 +40,8 @@
 type GroupMessage =
     | { readonly kind: "release"; readonly shards: number[]; readonly generation: number; }
     | { readonly kind: "handover"; readonly handover: Handover; }
-    | { readonly kind: "query"; readonly query: ClaimQuery; }
-    | { readonly kind: "state"; readonly state: ClaimState; }
+    | { readonly kind: "query"; readonly query: LeaseQuery; }
+    | { readonly kind: "state"; readonly state: LeaseState; }
     | { readonly kind: "leaving"; };
 
 /** A path from one VM to another. */
@@ -49,29 +49,29 @@
     isCut: boolean;
     delayMs: number;
     /** Lives between which a link is open; none otherwise. */
-    link: { readonly from: Life; readonly to: Life; readonly held: GroupMessage[]; } | undefined;
+    link: { readonly from: VmProcess; readonly to: VmProcess; readonly held: GroupMessage[]; } | undefined;
     cuts: number;
 }
 
 /** One process of a VM. */
-class Life {
+class VmProcess {
     isAlive = true;
     isLeaving = false;
     /** The VM stands still until then; steady time does not count it. */
-    frozenUntil = 0;
-    frozenMs = 0;
+    suspendedUntil = 0;
+    suspendedMs = 0;
     readonly incarnation: number;
     readonly owning: Owning;
-    readonly known = new Map<string, number>();
+    readonly knownIncarnations = new Map<string, number>();
     readonly leaving = new Set<string>();
 
     constructor(readonly world: World, readonly vm: string) {
-        this.incarnation = world.countLives();
+        this.incarnation = world.createIncarnation();
         const view = new FleetView();
         for (const name of engineNames) {
             view.updateUpstream(createUpstream(name), 0);
         }
-        const readTime = () => world.schedule.now - this.frozenMs;
+        const readTime = () => world.schedule.now - this.suspendedMs;
         this.owning = new Owning({
             vm,
             view,
@@ -85,9 +85,9 @@
             readTime,
             timers: this.createTimers(),
             bootClock: new BootClock({ readSteady: readTime, readWall: () => world.schedule.now }),
-            turnMs,
+            turnMs: holderGapMs,
             incarnation: this.incarnation,
-            readIncarnation: other => this.known.get(other),
+            readIncarnation: other => this.knownIncarnations.get(other),
             findService: () => engineService,
             sendNews: () => {},
             sendAnswer: () => {},
@@ -100,13 +100,13 @@
     }
 
     pause(ms: number): void {
-        this.frozenUntil = this.world.schedule.now + ms;
-        this.frozenMs += ms;
+        this.suspendedUntil = this.world.schedule.now + ms;
+        this.suspendedMs += ms;
     }
 
     /** Runs something in this process: now, or when it runs on, in the order in which it was due. */
     schedule(run: () => void): void {
-        const waitMs = this.frozenUntil - this.world.schedule.now;
+        const waitMs = this.suspendedUntil - this.world.schedule.now;
         if (waitMs > 0) {
             this.world.schedule.add(waitMs, () => this.schedule(run));
         }
@@ -121,7 +121,7 @@
         }
     }
 
-    receive(from: Life, message: GroupMessage): void {
+    receive(from: VmProcess, message: GroupMessage): void {
         switch (message.kind) {
             case "release":
                 this.owning.recordRelease(from.vm, message.shards, message.generation);
@@ -132,11 +132,11 @@
             case "query":
                 this.world.send(this, from.vm, {
                     kind: "state",
-                    state: this.owning.readClaimState(from.vm, message.query),
+                    state: this.owning.readLeaseState(from.vm, message.query),
                 });
                 return;
             case "state":
-                this.owning.receiveClaimState(from.vm, message.state);
+                this.owning.receiveLeaseState(from.vm, message.state);
                 return;
             case "leaving":
                 this.leaving.add(from.vm);
@@ -144,9 +144,9 @@
         }
     }
 
-    receiveLink(from: Life): void {
-        if (this.known.get(from.vm) !== from.incarnation) {
-            this.known.set(from.vm, from.incarnation);
+    receiveLink(from: VmProcess): void {
+        if (this.knownIncarnations.get(from.vm) !== from.incarnation) {
+            this.knownIncarnations.set(from.vm, from.incarnation);
             this.leaving.delete(from.vm);
             this.owning.receiveStart();
         }
@@ -215,21 +215,21 @@
 export class World {
     readonly schedule = new Schedule();
     readonly arrived: ArrivedOrder[] = [];
-    readonly lives = new Map<string, Life>();
+    readonly processes = new Map<string, VmProcess>();
     /** What the store's list of VMs says. */
     readonly entries = new Map<string, Member>();
     /** VMs whose calls do not reach the store. */
     readonly cutOff = new Set<string>();
     /** VMs that do not hear the store's answers. */
-    readonly deaf = new Set<string>();
+    readonly withoutReplies = new Set<string>();
     generation = 0;
     owners = new Map<number, string>();
     chooseFlightMs: (vm: string) => number = () => 3;
     chooseOpeningMs: (vm: string) => number = () => 0;
     private readonly members = new Map<string, number>();
     private readonly paths = new Map<string, Path>();
-    private livesCount = 0;
-    private wants = 0;
+    private lastIncarnation = 0;
+    private loadRequestCount = 0;
     private outageAt = 0;
 
     constructor(readonly vms: readonly string[]) {
@@ -238,32 +238,32 @@
                 this.paths.set(`${from}>${to}`, { isCut: false, delayMs: 2, link: undefined, cuts: 0 });
             }
         }
-        this.addWants();
+        this.addLoadRequests();
     }
 
-    countLives(): number {
-        this.livesCount += 1;
-        return this.livesCount;
+    createIncarnation(): number {
+        this.lastIncarnation += 1;
+        return this.lastIncarnation;
     }
 
     start(vm: string): void {
         this.kill(vm);
-        const life = new Life(this, vm);
-        this.lives.set(vm, life);
+        const process = new VmProcess(this, vm);
+        this.processes.set(vm, process);
         for (const other of this.vms) {
             this.openLink(vm, other, 20);
             this.openLink(other, vm, 20);
         }
-        this.readPast(life);
+        this.readPreviousEntry(process);
     }
 
     /** Reads the list of VMs, which the store alone can tell, and starts to claim. */
-    private readPast(life: Life): void {
+    private readPreviousEntry(life: VmProcess): void {
         if (!life.isAlive) {
             return;
         }
         if (this.cutOff.has(life.vm)) {
-            this.schedule.add(100, () => this.readPast(life));
+            this.schedule.add(100, () => this.readPreviousEntry(life));
             return;
         }
         this.schedule.add(10, () => {
@@ -275,14 +275,14 @@
     }
 
     kill(vm: string): void {
-        const life = this.lives.get(vm);
-        if (life === undefined) {
+        const process = this.processes.get(vm);
+        if (process === undefined) {
             return;
         }
-        life.isAlive = false;
-        this.lives.delete(vm);
+        process.isAlive = false;
+        this.processes.delete(vm);
         for (const path of this.paths.values()) {
-            if (path.link?.from === life || path.link?.to === life) {
+            if (path.link?.from === process || path.link?.to === process) {
                 path.link = undefined;
             }
         }
@@ -290,14 +290,14 @@
 
     /** A planned stop: the process ends some time after it. */
     stop(vm: string): void {
-        const life = this.lives.get(vm);
-        if (life === undefined || life.isLeaving) {
+        const process = this.processes.get(vm);
+        if (process === undefined || process.isLeaving) {
             return;
         }
-        life.schedule(() => this.beginStop(life));
+        process.schedule(() => this.beginStop(process));
     }
 
-    private beginStop(life: Life): void {
+    private beginStop(life: VmProcess): void {
         life.isLeaving = true;
         void life.owning.stop();
         life.broadcast({ kind: "leaving" });
@@ -306,15 +306,15 @@
     }
 
     /** The newest word about a VM; written again until the store has it. */
-    private readonly unwritten = new Map<Life, Partial<Member>>();
+    private readonly pendingEntries = new Map<VmProcess, Partial<Member>>();
 
-    write(life: Life, state: Partial<Member>): void {
-        this.unwritten.set(life, state);
+    write(life: VmProcess, state: Partial<Member>): void {
+        this.pendingEntries.set(life, state);
         this.schedule.add(5, () => this.writeNow(life, state));
     }
 
-    private writeNow(life: Life, state: Partial<Member>): void {
-        if (!life.isAlive || this.unwritten.get(life) !== state) {
+    private writeNow(life: VmProcess, state: Partial<Member>): void {
+        if (!life.isAlive || this.pendingEntries.get(life) !== state) {
             return;
         }
         if (this.cutOff.has(life.vm)) {
@@ -325,42 +325,42 @@
     }
 
     /** Waits in simulated time; for ever if the process ends meanwhile. */
-    wait(life: Life, ms: number): Promise<void> {
+    wait(life: VmProcess, ms: number): Promise<void> {
         return new Promise(resolve => {
             this.schedule.add(ms, () => life.schedule(resolve));
         });
     }
 
-    async renew(life: Life, _generation: number): Promise<ShardDeal | undefined> {
+    async renew(life: VmProcess, _generation: number): Promise<ShardDeal | undefined> {
         await this.wait(life, 2);
         if (this.cutOff.has(life.vm)) {
-            await this.wait(life, answerTimeoutMs);
+            await this.wait(life, replyTimeoutMs);
             return undefined;
         }
         this.expireMembers();
         if (!this.members.has(life.vm)) {
             this.members.set(life.vm, this.schedule.now);
-            this.planEvenDeal();
+            this.planEvenAssignment();
         }
         this.members.set(life.vm, this.schedule.now);
         const shards = [...this.owners].filter(([, owner]) => owner === life.vm).map(([shard]) => shard);
-        const deal = { generation: this.generation, shards };
-        if (this.deaf.has(life.vm)) {
-            await this.wait(life, answerTimeoutMs);
+        const assignment = { generation: this.generation, shards };
+        if (this.withoutReplies.has(life.vm)) {
+            await this.wait(life, replyTimeoutMs);
             return undefined;
         }
         await this.wait(life, 2);
-        return deal;
+        return assignment;
     }
 
-    async releaseAll(life: Life): Promise<boolean> {
+    async releaseAll(life: VmProcess): Promise<boolean> {
         await this.wait(life, 2);
         if (this.cutOff.has(life.vm)) {
-            await this.wait(life, answerTimeoutMs);
+            await this.wait(life, replyTimeoutMs);
             return false;
         }
         if (this.members.delete(life.vm)) {
-            this.planEvenDeal();
+            this.planEvenAssignment();
         }
         await this.wait(life, 2);
         return true;
@@ -384,20 +384,20 @@
 
     private expireMembers(): void {
         for (const [vm, joinedAt] of this.members) {
-            if (this.schedule.now - joinedAt > lifeMs) {
+            if (this.schedule.now - joinedAt > membershipMs) {
                 this.members.delete(vm);
-                this.planEvenDeal();
+                this.planEvenAssignment();
             }
         }
     }
 
-    private planEvenDeal(): void {
+    private planEvenAssignment(): void {
         const members = [...this.members.keys()].sort();
-        this.planDeal(shard => members[shard % members.length]);
+        this.planAssignment(shard => members[shard % members.length]);
     }
 
     /** The platform deals all shards anew. */
-    planDeal(choose: (shard: number) => string | undefined): void {
+    planAssignment(choose: (shard: number) => string | undefined): void {
         this.generation += 1;
         this.owners.clear();
         for (let shard = 0; shard < shardCount; shard++) {
@@ -435,11 +435,11 @@
         }
     }
 
-    isLinked(from: Life, to: string): boolean {
+    isLinked(from: VmProcess, to: string): boolean {
         return this.findPath(from.vm, to).link?.from === from;
     }
 
-    send(from: Life, to: string, message: GroupMessage): boolean {
+    send(from: VmProcess, to: string, message: GroupMessage): boolean {
         const path = this.findPath(from.vm, to);
         if (path.link?.from !== from) {
             return false;
@@ -474,7 +474,7 @@
     private openLink(from: string, to: string, waitMs: number): void {
         const path = this.findPath(from, to);
         this.schedule.add(waitMs + path.delayMs, () => {
-            const [source, target] = [this.lives.get(from), this.lives.get(to)];
+            const [source, target] = [this.processes.get(from), this.processes.get(to)];
             if (from === to || path.link !== undefined || source === undefined || target === undefined) {
                 return;
             }
@@ -488,12 +488,14 @@
     }
 
     /** Requests always want one more adapter, so that whoever may give orders does. */
-    private addWants(): void {
-        this.wants += 1;
-        for (const { owning } of [...this.lives.values()].filter(life => life.frozenUntil <= this.schedule.now)) {
+    private addLoadRequests(): void {
+        this.loadRequestCount += 1;
+        for (
+            const { owning } of [...this.processes.values()].filter(life => life.suspendedUntil <= this.schedule.now)
+        ) {
             for (const engine of engineNames) {
                 owning.engines.prepare(engine, {
-                    key: `base/a${this.wants}`,
+                    key: `base/a${this.loadRequestCount}`,
                     version: 1,
                     runMs: 100,
                     onTimeMs: 1000,
@@ -501,7 +503,7 @@
                 });
             }
         }
-        this.schedule.add(wantIntervalMs, () => this.addWants());
+        this.schedule.add(loadRequestIntervalMs, () => this.addLoadRequests());
     }
 
     /** Holders of orders that arrived at an engine since a time, in order and without repetition. */
@@ -518,14 +520,14 @@
             let last: ArrivedOrder | undefined;
             for (const order of this.arrived.filter(arrived => arrived.engine === engine)) {
                 const isOther = last !== undefined && last.holder !== order.holder;
-                const story = `${JSON.stringify(last)} then ${JSON.stringify(order)}`;
+                const orders = `${JSON.stringify(last)} then ${JSON.stringify(order)}`;
                 assert.ok(
                     last === undefined || order.fence >= last.fence,
-                    `a lower token after a higher one: ${story}`,
+                    `a lower token after a higher one: ${orders}`,
                 );
-                assert.not(isOther && order.fence === last!.fence, `two holders with one token: ${story}`);
+                assert.not(isOther && order.fence === last!.fence, `two holders with one token: ${orders}`);
                 const before = lastAt.get(order.holder) ?? -Infinity;
-                assert.ok(!isOther || order.at - before >= turnMs, `holders take turns: ${before}, ${story}`);
+                assert.ok(!isOther || order.at - before >= holderGapMs, `holders take turns: ${before}, ${orders}`);
                 lastAt.set(order.holder, order.at);
                 last = order;
             }
--- a/packages/node/test/ownership.test.ts
+++ b/packages/node/test/ownership.test.ts
@@ -14,7 +14,7 @@
         world.start(vm);
     }
     await world.schedule.advance(1000);
-    world.planDeal(() => vms[0]);
+    world.planAssignment(() => vms[0]);
     await world.schedule.advance(7000);
     assert.equal(world.listHolders(0, 5000), [vms[0]]);
     return world;
@@ -84,7 +84,7 @@
     world.cutOff.delete("a");
     world.start("a");
     await world.schedule.advance(1300);
-    world.planDeal(() => "b");
+    world.planAssignment(() => "b");
     world.cutOff.add("a");
     await world.schedule.advance(6000);
     world.checkOrders();
@@ -97,7 +97,7 @@
         const world = await createWorld(["a", "b"]);
         world.chooseFlightMs = vm => vm === "a" ? 85 : 1;
         await world.schedule.advance(offsetMs);
-        world.planDeal(() => "b");
+        world.planAssignment(() => "b");
         await world.schedule.advance(3000);
         world.checkOrders();
         assert.equal(world.listHolders(0, world.schedule.now - 500), ["b"]);
@@ -123,7 +123,7 @@
     world.closePath("b", "a");
     world.closePath("a", "b");
     await world.schedule.advance(3500);
-    world.planDeal(() => "b");
+    world.planAssignment(() => "b");
     await world.schedule.advance(6000);
     assert.equal(world.listHolders(0, world.schedule.now - 500), ["b"]);
     world.checkOrders();
@@ -134,7 +134,7 @@
     world.cutOff.add("a");
     world.closePath("b", "a");
     world.closePath("a", "b");
-    world.planDeal(() => "b");
+    world.planAssignment(() => "b");
     await world.schedule.advance(1300);
     for (const vm of ["c", "d", "e", "f", "g"]) {
         world.cutOff.add(vm);
@@ -145,8 +145,8 @@
 
 test("a VM counts as cut off once it has tried the store in vain, not while it had no reason to try", async () => {
     const world = await createWorld(["a", "b", "c"]);
-    const { owning } = world.lives.get("c")!;
-    const readState = () => owning.readClaimState("a", { query: 1, newestDeal: 0, givers: [] });
+    const { owning } = world.processes.get("c")!;
+    const readState = () => owning.readLeaseState("a", { query: 1, newestDeal: 0, givers: [] });
     const ages: number[] = [];
     for (let elapsedMs = 0; elapsedMs < 1200; elapsedMs += 100) {
         await world.schedule.advance(100);
@@ -168,8 +168,8 @@
         const world = await createWorld(["a", "b"]);
         world.chooseOpeningMs = vm => vm === "a" ? 50 : 0;
         await world.schedule.advance(offsetMs);
-        world.lives.get("a")!.pause(4000);
-        world.planDeal(() => "b");
+        world.processes.get("a")!.pause(4000);
+        world.planAssignment(() => "b");
         await world.schedule.advance(3900);
         assert.equal(world.listHolders(0, world.schedule.now - 300), ["b"]);
         await world.schedule.advance(4000);
@@ -184,7 +184,7 @@
     world.closePath("a", "b");
     world.closePath("b", "a");
     ["a", "c", "d", "e"].forEach(vm => world.cutOff.add(vm));
-    world.planDeal(() => "b");
+    world.planAssignment(() => "b");
     await world.schedule.advance(1300);
     world.cutOff.add("b");
     await world.schedule.advance(6000);
@@ -257,7 +257,7 @@
 test("a VM that took shards over takes others over later, though those of before have their holder back", async () => {
     const world = await createHandover();
     world.endOutage(true);
-    world.planDeal(() => "c");
+    world.planAssignment(() => "c");
     await world.schedule.advance(1000);
     world.closePath("a", "b");
     world.closePath("b", "a");
@@ -266,7 +266,7 @@
     await world.schedule.advance(500);
     world.kill("a");
     await world.schedule.advance(3500);
-    world.planDeal(() => "c");
+    world.planAssignment(() => "c");
     await world.schedule.advance(4500);
     assert.equal(world.listHolders(0, world.schedule.now - 500), ["c"]);
     world.startOutage();
@@ -291,7 +291,7 @@
     world.cutOff.add("a");
     world.closePath("a", "c");
     world.closePath("c", "a");
-    world.planDeal(() => "c");
+    world.planAssignment(() => "c");
     await world.schedule.advance(6000);
     assert.is(world.listHolders(0, world.schedule.now - 500).includes("a"), false);
     world.checkOrders();
@@ -300,7 +300,7 @@
 test("a shard that was taken over and is then dealt to its holder stays with it", async () => {
     const world = await createHandover();
     world.endOutage(true);
-    world.planDeal(() => "b");
+    world.planAssignment(() => "b");
     await world.schedule.advance(500);
     world.kill("a");
     const startedAt = world.schedule.now;
@@ -346,7 +346,7 @@
     await world.schedule.advance(4500);
     world.cutOff.delete("b");
     world.cutOff.add("a");
-    world.planDeal(() => "c");
+    world.planAssignment(() => "c");
     await world.schedule.advance(6000);
     world.checkOrders();
 });
@@ -385,13 +385,13 @@
 function runStep(world: World, { kind, vm, other, downMs, hasTimePaused }: Step): void {
     const [first, second] = [vms[vm]!, vms[other]!];
     const startLater = (waitMs: number): void =>
-        world.schedule.add(waitMs, () => world.lives.has(first) || world.start(first));
+        world.schedule.add(waitMs, () => world.processes.has(first) || world.start(first));
     switch (kind) {
         case "deal":
-            world.planDeal(shard => vms[(shard + vm) % vms.length]);
+            world.planAssignment(shard => vms[(shard + vm) % vms.length]);
             return;
         case "dealToOne":
-            world.planDeal(() => first);
+            world.planAssignment(() => first);
             return;
         case "kill":
             world.kill(first);
@@ -419,12 +419,12 @@
         case "cutOffStore":
         case "deafen":
             // Where most VMs are cut off and some are not, a claim may go on that the store has given away: a known gap.
-            if (world.cutOff.size + world.deaf.size < 2) {
-                (kind === "deafen" ? world.deaf : world.cutOff).add(first);
+            if (world.cutOff.size + world.withoutReplies.size < 2) {
+                (kind === "deafen" ? world.withoutReplies : world.cutOff).add(first);
             }
             return;
         case "reachStore":
-            world.deaf.clear();
+            world.withoutReplies.clear();
             if (world.cutOff.size < vms.length) {
                 world.cutOff.clear();
             }
@@ -443,8 +443,8 @@
             world.findPath(first, second).delayMs = downMs / 4;
             return;
         case "freeze":
-            if ((world.lives.get(first)?.frozenUntil ?? Infinity) <= world.schedule.now) {
-                world.lives.get(first)!.pause(300 + downMs * 3);
+            if ((world.processes.get(first)?.suspendedUntil ?? Infinity) <= world.schedule.now) {
+                world.processes.get(first)!.pause(300 + downMs * 3);
             }
             return;
         case "quiet":
@@ -482,7 +482,7 @@
     world.chooseFlightMs = () => ++orders % 3 === 0 ? 205 : 3;
     for (let deal = 0; deal < 10; deal++) {
         await world.schedule.advance(430);
-        world.planDeal(() => "a");
+        world.planAssignment(() => "a");
     }
     await world.schedule.advance(1000);
     assert.equal(world.listHolders(0, 5000), ["a"]);
@@ -494,7 +494,7 @@
         const world = await createWorld(["a", "b"]);
         world.chooseFlightMs = vm => vm === "a" ? 205 : 1;
         await world.schedule.advance(offsetMs);
-        world.planDeal(() => "b");
+        world.planAssignment(() => "b");
         await world.schedule.advance(3000);
         world.checkOrders();
         assert.equal(world.listHolders(0, world.schedule.now - 500), ["b"]);
