--- a/packages/node/src/links/dispatcher.ts
+++ b/packages/node/src/links/dispatcher.ts
@@ -33,7 +33,7 @@
     dispatch(vm: string, message: PeerMessage): void {
         const { peers, sharing, departures, guard, accounts, admissions } = this.options;
         const { onChanges, onCrashReports, onNews, onLeaving } = this.options;
-        const owning = this.options.readOwning();
+        const ownership = this.options.readOwning();
         switch (message.type) {
             case "members":
                 message.members.forEach(member => peers.addPeer(member));
@@ -80,25 +80,25 @@
             case "begun":
             case "ended":
             case "runs":
-                owning?.engines.receiveRequest(vm, message);
+                ownership?.engines.receiveRequest(vm, message);
                 return;
             case "prepare":
             case "missing":
-                owning?.engines.receiveLoadMessage(message);
+                ownership?.engines.receiveLoadMessage(message);
                 return;
             case "release":
-                owning?.recordRelease(vm, message.shards, message.generation);
+                ownership?.recordRelease(vm, message.shards, message.generation);
                 return;
             case "handover":
-                owning?.receiveHandover(message);
+                ownership?.receiveHandover(message);
                 return;
             case "claimQuery":
-                if (owning !== undefined) {
-                    peers.send(vm, { type: "claimState", ...owning.readLeaseState(vm, message) });
+                if (ownership !== undefined) {
+                    peers.send(vm, { type: "claimState", ...ownership.readLeaseState(vm, message) });
                 }
                 return;
             case "claimState":
-                owning?.receiveLeaseState(vm, message);
+                ownership?.receiveLeaseState(vm, message);
                 return;
             case "leaving":
                 peers.recordLeaving(vm);
--- a/packages/node/test/group.ts
+++ b/packages/node/test/group.ts
@@ -61,7 +61,7 @@
     suspendedUntil = 0;
     suspendedMs = 0;
     readonly incarnation: number;
-    readonly owning: Owning;
+    readonly ownership: Owning;
     readonly knownIncarnations = new Map<string, number>();
     readonly leaving = new Set<string>();
 
@@ -72,7 +72,7 @@
             view.updateUpstream(createUpstream(name), 0);
         }
         const readTime = () => world.schedule.now - this.suspendedMs;
-        this.owning = new Owning({
+        this.ownership = new Owning({
             vm,
             view,
             claims: {
@@ -124,19 +124,19 @@
     receive(from: VmProcess, message: GroupMessage): void {
         switch (message.kind) {
             case "release":
-                this.owning.recordRelease(from.vm, message.shards, message.generation);
+                this.ownership.recordRelease(from.vm, message.shards, message.generation);
                 return;
             case "handover":
-                this.owning.receiveHandover(message.handover);
+                this.ownership.receiveHandover(message.handover);
                 return;
             case "query":
                 this.world.send(this, from.vm, {
                     kind: "state",
-                    state: this.owning.readLeaseState(from.vm, message.query),
+                    state: this.ownership.readLeaseState(from.vm, message.query),
                 });
                 return;
             case "state":
-                this.owning.receiveLeaseState(from.vm, message.state);
+                this.ownership.receiveLeaseState(from.vm, message.state);
                 return;
             case "leaving":
                 this.leaving.add(from.vm);
@@ -148,7 +148,7 @@
         if (this.knownIncarnations.get(from.vm) !== from.incarnation) {
             this.knownIncarnations.set(from.vm, from.incarnation);
             this.leaving.delete(from.vm);
-            this.owning.receiveStart();
+            this.ownership.receiveStart();
         }
     }
 
@@ -258,18 +258,18 @@
     }
 
     /** Reads the previous entry of the VM from the store, and starts to lease shards. */
-    private readPreviousEntry(life: VmProcess): void {
-        if (!life.isAlive) {
+    private readPreviousEntry(process: VmProcess): void {
+        if (!process.isAlive) {
             return;
         }
-        if (this.cutOff.has(life.vm)) {
-            this.schedule.add(100, () => this.readPreviousEntry(life));
+        if (this.cutOff.has(process.vm)) {
+            this.schedule.add(100, () => this.readPreviousEntry(process));
             return;
         }
         this.schedule.add(10, () => {
-            if (life.isAlive) {
-                life.owning.start(this.entries.get(life.vm));
-                this.write(life, {});
+            if (process.isAlive) {
+                process.ownership.start(this.entries.get(process.vm));
+                this.write(process, {});
             }
         });
     }
@@ -297,72 +297,72 @@
         process.schedule(() => this.beginStop(process));
     }
 
-    private beginStop(life: VmProcess): void {
-        life.isLeaving = true;
-        void life.owning.stop();
-        life.broadcast({ kind: "leaving" });
-        this.write(life, { hasLeft: true });
-        this.schedule.add(stopMs, () => life.isAlive && this.kill(life.vm));
+    private beginStop(process: VmProcess): void {
+        process.isLeaving = true;
+        void process.ownership.stop();
+        process.broadcast({ kind: "leaving" });
+        this.write(process, { hasLeft: true });
+        this.schedule.add(stopMs, () => process.isAlive && this.kill(process.vm));
     }
 
     /** The newest unwritten entry of each process; writes are retried until the store has the entry. */
     private readonly pendingEntries = new Map<VmProcess, Partial<Member>>();
 
-    write(life: VmProcess, state: Partial<Member>): void {
-        this.pendingEntries.set(life, state);
-        this.schedule.add(5, () => this.writeNow(life, state));
+    write(process: VmProcess, state: Partial<Member>): void {
+        this.pendingEntries.set(process, state);
+        this.schedule.add(5, () => this.writeNow(process, state));
     }
 
-    private writeNow(life: VmProcess, state: Partial<Member>): void {
-        if (!life.isAlive || this.pendingEntries.get(life) !== state) {
+    private writeNow(process: VmProcess, state: Partial<Member>): void {
+        if (!process.isAlive || this.pendingEntries.get(process) !== state) {
             return;
         }
-        if (this.cutOff.has(life.vm)) {
-            this.schedule.add(200, () => this.writeNow(life, state));
+        if (this.cutOff.has(process.vm)) {
+            this.schedule.add(200, () => this.writeNow(process, state));
             return;
         }
-        this.entries.set(life.vm, { id: life.vm, address: life.vm, ...state });
+        this.entries.set(process.vm, { id: process.vm, address: process.vm, ...state });
     }
 
     /** Waits in simulated time. The promise never resolves if the process ends meanwhile. */
-    wait(life: VmProcess, ms: number): Promise<void> {
+    wait(process: VmProcess, ms: number): Promise<void> {
         return new Promise(resolve => {
-            this.schedule.add(ms, () => life.schedule(resolve));
+            this.schedule.add(ms, () => process.schedule(resolve));
         });
     }
 
-    async renew(life: VmProcess, _generation: number): Promise<ShardDeal | undefined> {
-        await this.wait(life, 2);
-        if (this.cutOff.has(life.vm)) {
-            await this.wait(life, replyTimeoutMs);
+    async renew(process: VmProcess, _generation: number): Promise<ShardDeal | undefined> {
+        await this.wait(process, 2);
+        if (this.cutOff.has(process.vm)) {
+            await this.wait(process, replyTimeoutMs);
             return undefined;
         }
         this.expireMembers();
-        if (!this.members.has(life.vm)) {
-            this.members.set(life.vm, this.schedule.now);
+        if (!this.members.has(process.vm)) {
+            this.members.set(process.vm, this.schedule.now);
             this.planEvenAssignment();
         }
-        this.members.set(life.vm, this.schedule.now);
-        const shards = [...this.owners].filter(([, owner]) => owner === life.vm).map(([shard]) => shard);
+        this.members.set(process.vm, this.schedule.now);
+        const shards = [...this.owners].filter(([, owner]) => owner === process.vm).map(([shard]) => shard);
         const assignment = { generation: this.generation, shards };
-        if (this.withoutReplies.has(life.vm)) {
-            await this.wait(life, replyTimeoutMs);
+        if (this.withoutReplies.has(process.vm)) {
+            await this.wait(process, replyTimeoutMs);
             return undefined;
         }
-        await this.wait(life, 2);
+        await this.wait(process, 2);
         return assignment;
     }
 
-    async releaseAll(life: VmProcess): Promise<boolean> {
-        await this.wait(life, 2);
-        if (this.cutOff.has(life.vm)) {
-            await this.wait(life, replyTimeoutMs);
+    async releaseAll(process: VmProcess): Promise<boolean> {
+        await this.wait(process, 2);
+        if (this.cutOff.has(process.vm)) {
+            await this.wait(process, replyTimeoutMs);
             return false;
         }
-        if (this.members.delete(life.vm)) {
+        if (this.members.delete(process.vm)) {
             this.planEvenAssignment();
         }
-        await this.wait(life, 2);
+        await this.wait(process, 2);
         return true;
     }
 
@@ -491,10 +491,12 @@
     private addLoadRequests(): void {
         this.loadRequestCount += 1;
         for (
-            const { owning } of [...this.processes.values()].filter(life => life.suspendedUntil <= this.schedule.now)
+            const { ownership } of [...this.processes.values()].filter(process =>
+                process.suspendedUntil <= this.schedule.now
+            )
         ) {
             for (const engine of engineNames) {
-                owning.engines.prepare(engine, {
+                ownership.engines.prepare(engine, {
                     key: `base/a${this.loadRequestCount}`,
                     version: 1,
                     runMs: 100,
--- a/packages/node/test/ownership.test.ts
+++ b/packages/node/test/ownership.test.ts
@@ -146,13 +146,13 @@
 
 test("a VM counts as cut off after failed attempts to reach the store, not while it makes no attempt", async () => {
     const world = await createWorld(["a", "b", "c"]);
-    const { owning } = world.processes.get("c")!;
-    const readState = () => owning.readLeaseState("a", { query: 1, newestDeal: 0, givers: [] });
+    const { ownership } = world.processes.get("c")!;
+    const readState = () => ownership.readLeaseState("a", { query: 1, newestDeal: 0, givers: [] });
     const ages: number[] = [];
     for (let elapsedMs = 0; elapsedMs < 1200; elapsedMs += 100) {
         await world.schedule.advance(100);
-        ages.push(owning.renewalAgeMs);
-        assert.is(owning.renewalAgeMs > 0 && readState().isCutOff, false);
+        ages.push(ownership.renewalAgeMs);
+        assert.is(ownership.renewalAgeMs > 0 && readState().isCutOff, false);
     }
     assert.ok(Math.max(...ages) > 500, `${Math.max(...ages)} ms`);
     world.startOutage();
--- a/packages/node/test/rebirth.test.ts
+++ b/packages/node/test/rebirth.test.ts
@@ -48,14 +48,14 @@
 
 /** An event of one VM that follows an engine: entries and removals in any order, and statuses from owners. */
 type Step =
-    | { readonly kind: "entry"; readonly life: number; }
+    | { readonly kind: "entry"; readonly incarnation: number; }
     | { readonly kind: "removal"; }
-    | { readonly kind: "news"; readonly life: number; };
+    | { readonly kind: "news"; readonly incarnation: number; };
 
 const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
-    fc.record({ kind: fc.constant("entry" as const), life: fc.integer({ min: 1, max: 4 }) }),
+    fc.record({ kind: fc.constant("entry" as const), incarnation: fc.integer({ min: 1, max: 4 }) }),
     fc.record({ kind: fc.constant("removal" as const) }),
-    fc.record({ kind: fc.constant("news" as const), life: fc.integer({ min: 1, max: 4 }) }),
+    fc.record({ kind: fc.constant("news" as const), incarnation: fc.integer({ min: 1, max: 4 }) }),
 );
 
 test("over random histories two VMs agree on the incarnation in use and apply only its statuses", () => {
@@ -67,7 +67,11 @@
                 const changes = steps.flatMap((step, position): ClusterChange[] => {
                     switch (step.kind) {
                         case "entry":
-                            return [{ kind: "upstream", upstream: createIncarnation(step.life * 1000, 0), position }];
+                            return [{
+                                kind: "upstream",
+                                upstream: createIncarnation(step.incarnation * 1000, 0),
+                                position,
+                            }];
                         case "removal":
                             return [{ kind: "upstreamGone", name: "e1", position }];
                         case "news":
@@ -78,9 +82,9 @@
                 const outOfOrder = createVm();
                 for (const [index, step] of steps.entries()) {
                     if (step.kind === "news") {
-                        const news = createNews(`e1@${step.life * 1000}`, {
+                        const news = createNews(`e1@${step.incarnation * 1000}`, {
                             revision: index,
-                            held: { [`m/a${step.life}`]: 1 },
+                            held: { [`m/a${step.incarnation}`]: 1 },
                         });
                         inOrder.view.updateNews("owner", news, 0);
                     }
