--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -8,8 +8,8 @@
 import { isMesh, type KnownMember, listWantedLinks } from "./wanted.js";
 
 /**
- * Longest delay between two attempts to reach a VM, in milliseconds. Without this limit the delay reaches 2 s
- * in a cut of 6 s, and no adapter is loaded on the engines beyond the cut until links are open again.
+ * Longest delay between two attempts to reach a VM, in milliseconds. Without this limit, links may open up
+ * to 2 s after a cut of 6 s has ended; until then no adapter can be loaded on the engines beyond it.
  */
 const maxReconnectDelayMs = 500;
 
