--- a/packages/node/src/accounts/confirmations.ts
+++ b/packages/node/src/accounts/confirmations.ts
@@ -3,49 +3,51 @@
 import type { ClusterChange } from "../ports.js";
 
 /**
- * Age of what is known from which a VM that does not read the store asks others, in milliseconds, and the pause between two
- * questions: with an age of 1.1 s at the reader it is 1.6 s old at most, which leaves 3 s of 5 s for a cut.
+ * Age of the last confirmation at which a VM that does not read the store queries other VMs, and the interval between
+ * two queries, in milliseconds. If the reader's confirmation is 1.1 s old, that of a follower is at most 1.6 s old,
+ * which leaves 3 s of a revocation time of 5 s for a network partition.
  */
-const askAgeMs = 400;
-const askPauseMs = 400;
+const queryAfterAgeMs = 400;
+const queryIntervalMs = 400;
 
-/** A VM that reads the store waits for news of it that long, in milliseconds: only later it asks others. */
-const readerAskAgeMs = 2000;
+/** Age of the last confirmation at which a VM that reads the store queries other VMs, in milliseconds. */
+const readerQueryAfterAgeMs = 2000;
 
-/** How long a caller with a key that is not known is kept while another VM is asked, in milliseconds: answers take 3 ms. */
-const othersWaitMs = 50;
+/** How long a request with an unknown key waits for a reply of another VM, in milliseconds: replies take about 3 ms. */
+const peerReplyTimeoutMs = 50;
 
-/** A question without an answer is forgotten after this, in milliseconds: an answer as old would confirm nothing of use. */
-const queryLifeMs = 10_000;
+/** Time after which an unanswered query is dropped, in milliseconds: a later reply would confirm too old a state. */
+const queryLifetimeMs = 10_000;
 
-/** Messages about confirmations. */
+/** Messages that confirm that a configuration is the newest. */
 export type ConfirmationMessage = Extract<PeerMessage, { type: "confirmQuery" | "confirmation"; }>;
 
 /** Options of {@link Confirmations}. */
 export interface ConfirmationsOptions {
-    /** Time that goes on while the VM is suspended, in milliseconds. */
+    /** Clock that also counts while the VM is suspended, in milliseconds. */
     readonly readBoot: () => number;
     readonly timers: Timers;
-    /** The configuration in force, as it was read; undefined if there is none. */
+    /** The change that carried the configuration in force; undefined if there is none. */
     readonly findRouting: () => Extract<ClusterChange, { kind: "routing"; }> | undefined;
-    /** What the operator has written after a position, as far as this VM knows. */
+    /** Changes that the operator wrote to the store after a position, as far as this VM knows them. */
     readonly listOperatorChanges: (position: number) => ClusterChange[];
-    /** Whether anything depends on the age of the configuration. */
+    /** Whether any decision of this VM depends on the age of the configuration. */
     readonly isNeeded: () => boolean;
-    /** Whether this VM reads the store by itself. */
+    /** Whether this VM reads the store itself. */
     readonly isReading: () => boolean;
-    /** VMs to ask, best first. */
+    /** VMs to query, best first. */
     readonly listSources: () => string[];
     readonly send: (vm: string, message: PeerMessage) => void;
 }
 
 /**
- * As of when this VM's configuration was the newest. The store confirms it to the VMs that read there, these to the others.
- * An answer counts from when the question was sent, so that what a message waits on its way adds to the age.
+ * Tracks when this VM's configuration was last known to be the newest. The store confirms this to the VMs that read it,
+ * and these VMs confirm it to the others. A reply counts from the time at which its query was sent, so that delays on
+ * the way add to the age.
  */
 export class Confirmations {
     private asOf = -Infinity;
-    private askedAt = -Infinity;
+    private queriedAt = -Infinity;
     private lastQuery = 0;
     private readonly sentAt = new Map<number, number>();
     private readonly waiters = new Set<() => void>();
@@ -57,25 +59,25 @@
         return this.options.readBoot() - this.asOf;
     }
 
-    /** Takes word of the store. @param asOf In boot time. */
+    /** Records that the configuration in force was the newest in the store at a time. @param asOf In boot time. */
     recordConfirmed(asOf: number): void {
         this.asOf = Math.max(this.asOf, asOf);
     }
 
-    /** Asks others if what is known grows old. */
+    /** Queries other VMs if the last confirmation is too old. */
     update(): void {
         const now = this.options.readBoot();
         this.expireQueries(now);
-        const dueMs = this.options.isReading() ? readerAskAgeMs : askAgeMs;
-        if (this.options.isNeeded() && now - this.asOf >= dueMs && now - this.askedAt >= askPauseMs) {
+        const dueMs = this.options.isReading() ? readerQueryAfterAgeMs : queryAfterAgeMs;
+        if (this.options.isNeeded() && now - this.asOf >= dueMs && now - this.queriedAt >= queryIntervalMs) {
             this.sendQuery(now);
         }
     }
 
-    /** Asks others at once, and waits until one has answered or the time is over. */
-    async askOthers(): Promise<void> {
+    /** Queries other VMs at once, and waits for the first valid reply or the timeout. */
+    async askPeers(): Promise<void> {
         const now = this.options.readBoot();
-        if (now - this.askedAt >= othersWaitMs) {
+        if (now - this.queriedAt >= peerReplyTimeoutMs) {
             this.sendQuery(now);
         }
         await new Promise<void>(resolve => {
@@ -84,14 +86,14 @@
                 this.waiters.delete(finish);
                 resolve();
             };
-            const timer = this.options.timers.scheduleOnce(finish, othersWaitMs);
+            const timer = this.options.timers.scheduleOnce(finish, peerReplyTimeoutMs);
             this.waiters.add(finish);
         });
     }
 
     receiveMessage(vm: string, message: ConfirmationMessage): void {
         if (message.type === "confirmQuery") {
-            this.sendAnswer(vm, message.query, message.position);
+            this.sendReply(vm, message.query, message.position);
             return;
         }
         const sentAt = this.sentAt.get(message.query);
@@ -105,21 +107,21 @@
         }
     }
 
-    private sendAnswer(vm: string, query: number, position: number): void {
+    private sendReply(vm: string, query: number, position: number): void {
         const routing = this.options.findRouting();
         const ageMs = this.readAgeMs();
         if (routing === undefined || ageMs === Infinity) {
             return;
         }
         if (routing.position > position) {
-            // All of them: a VM that has a later one takes those before it for read.
+            // All later changes are sent: a VM that has a change counts all changes before it as read.
             this.options.send(vm, { type: "changes", changes: this.options.listOperatorChanges(position) });
         }
         this.options.send(vm, { type: "confirmation", query, position: routing.position, ageMs: Math.max(0, ageMs) });
     }
 
     private sendQuery(now: number): void {
-        this.askedAt = now;
+        this.queriedAt = now;
         this.lastQuery += 1;
         this.sentAt.set(this.lastQuery, now);
         const position = this.options.findRouting()?.position ?? -1;
@@ -130,7 +132,7 @@
 
     private expireQueries(now: number): void {
         for (const [query, sentAt] of this.sentAt) {
-            if (now - sentAt > queryLifeMs) {
+            if (now - sentAt > queryLifetimeMs) {
                 this.sentAt.delete(query);
             }
         }
--- a/packages/node/src/accounts/guard.ts
+++ b/packages/node/src/accounts/guard.ts
@@ -11,46 +11,46 @@
 import { type QuotaClaim, type QuotaMessage, Quotas } from "./quotas.js";
 
 /**
- * Part of the time in which a withdrawn key must be refused that is left for the way from here to an upstream, in
- * milliseconds: links and queues of connections take some 10 ms, a busy processor 0.2 s.
+ * Part of the revocation time that is reserved for the way of a request from this check to an upstream, in
+ * milliseconds: links and connection queues take about 10 ms, a busy processor 0.2 s.
  */
 const sendMarginMs = 300;
 
-/** How soon a caller may come back where too little is known, in seconds: a new reader or coordinator is found in 1 s. */
-const unsureRetrySeconds = 0.5;
+/** `Retry-After` while the account state is unknown, in seconds: a new reader or coordinator is found within 1 s. */
+const unknownStateRetrySeconds = 0.5;
 
-/** Digits of a key's digest in the log. */
+/** Number of hexadecimal digits of a key's digest in the log. */
 const digestDigits = 8;
 
-/** What the operator asks of accounts. */
+/** Limits that the operator sets for client accounts. */
 export interface AccountBounds {
-    /** Whether a key that has been withdrawn is refused in time also by VMs that cannot hear of it. */
+    /** Whether VMs that cannot learn of revocations also refuse a revoked key in time. */
     readonly isRevocationStrict: boolean;
-    /** Time in which a withdrawn key is refused, in milliseconds. */
+    /** Time within which a revoked key is refused, in milliseconds. */
     readonly revocationMs: number;
-    /** Time in which a configuration is in force, in milliseconds. */
+    /** Time within which a new configuration is in force on all VMs, in milliseconds. */
     readonly configurationMs: number;
     readonly quota: QuotaBounds;
 }
 
-/** What a request is judged by. */
+/** The properties of a request that decide about its admission. */
 export interface AccountRequest {
     readonly route: Route;
     readonly demand: CallerDemand;
-    /** Upstreams that may have run it. */
+    /** Number of upstreams that may have run the request. */
     readonly runs: number;
 }
 
-/** Why a request is refused for what is known of its account. */
+/** Why a request is refused because of its account. */
 type AccountReason = Extract<RefusalReason, "unknownKey" | "configurationOld" | "quotaSpent" | "quotaUnknown">;
 
-/** What became of a request, as it is counted. */
+/** Outcome of a request's account check, as the metrics count it. */
 export type AccountVerdict = "admitted" | AccountReason;
 
-/** What a caller is told whose request is refused for that. */
+/** Response to a request that is refused because of its account. */
 type AccountRefusal = OwnAnswer & { readonly reason: AccountReason; };
 
-/** Messages about accounts. */
+/** Messages between VMs about accounts. */
 export type AccountMessage = ConfirmationMessage | QuotaMessage;
 
 /** Options of {@link AccountGuard}. */
@@ -58,25 +58,25 @@
     readonly vm: string;
     readonly bounds: AccountBounds;
     readonly cluster: ClusterState;
-    /** Time that goes on while the VM is suspended, in milliseconds. */
+    /** Clock that also counts while the VM is suspended, in milliseconds. */
     readonly readBoot: () => number;
-    /** Whether this VM reads the store by itself. */
+    /** Whether this VM reads the store itself. */
     readonly isReading: () => boolean;
-    /** VMs that may know whether the configuration is the newest, best first. */
+    /** VMs that can confirm that the configuration is the newest, best first. */
     readonly listConfirmers: () => string[];
     /** VMs that can coordinate quotas, as far as this VM knows. */
     readonly listCoordinators: () => string[];
-    /** VMs that exist, as far as is known, this one included. */
+    /** Number of VMs that this VM knows to exist, itself included. */
     readonly countVms: () => number;
     /** Sends to another VM. @returns Whether it could be sent. */
     readonly send: (vm: string, message: PeerMessage) => boolean;
-    /** A request was let in, or refused for a reason; its account is undefined if it is not known. */
+    /** Called when a request was admitted, or refused for a reason; the account is undefined if it is unknown. */
     readonly onVerdict: (account: string | undefined, verdict: AccountVerdict) => void;
     /** @default timers of this process */
     readonly timers?: Timers;
 }
 
-/** Lets in requests of known accounts within their quotas, and none on a key that may have been withdrawn. */
+/** Admits requests of known accounts within their quotas, and refuses requests whose key may have been revoked. */
 export class AccountGuard {
     private readonly confirmations: Confirmations;
     private readonly quotas: Quotas;
@@ -107,17 +107,17 @@
         });
     }
 
-    /** Time since the configuration in force was known to be the newest, in milliseconds; infinite before that. */
+    /** Time since the configuration in force was last known to be the newest, in milliseconds; infinite before that. */
     get configurationAgeMs(): number {
         return this.confirmations.readAgeMs();
     }
 
-    /** The store has confirmed that the configuration in force is the newest. @param asOf In boot time. */
+    /** Records that the store confirmed the configuration in force as the newest. @param asOf In boot time. */
     recordConfirmed(asOf: number): void {
         this.confirmations.recordConfirmed(asOf);
     }
 
-    /** Keeps what is known of accounts up to date. Called some times a second. */
+    /** Renews confirmations and quota leases, and drops balances of removed accounts. Called several times a second. */
     update(): void {
         this.confirmations.update();
         this.quotas.update();
@@ -137,10 +137,10 @@
         this.quotas.removeVm(vm);
     }
 
-    /** Finds out whose request it is. A key that is not known may be newer than this VM's configuration: it asks another VM. */
+    /** Resolves a request's account. An unknown key may be newer than this VM's configuration: other VMs are queried. */
     async resolveAccount(route: Route, demand: CallerDemand): Promise<Result<Account | undefined, OwnAnswer>> {
         if (this.isKeyed(route) && demand.key?.kind === "key" && this.findAccount(demand.key) === undefined) {
-            await this.confirmations.askOthers();
+            await this.confirmations.askPeers();
         }
         const refusal = this.findRefusal({ route, demand, runs: 0 });
         if (refusal !== undefined) {
@@ -150,7 +150,7 @@
         return ok(this.isKeyed(route) ? this.findAccount(demand.key) : undefined);
     }
 
-    /** Whose request it is by the configuration in force, as upstreams are told. */
+    /** Identity of the caller by the configuration in force, as it is sent to upstreams. */
     findIdentity({ route, demand }: AccountRequest): CallerIdentity | undefined {
         if (this.accounts === undefined) {
             return undefined;
@@ -159,14 +159,15 @@
         return { account: account?.name };
     }
 
-    /** Whether a request's key is still the one of this account: keys also move from one account to another. */
+    /** Whether a request's key still belongs to this account: keys can move from one account to another. */
     hasIdentity(request: AccountRequest, identity: CallerIdentity | undefined): boolean {
         return this.findIdentity(request)?.account === identity?.account;
     }
 
     /**
-     * What a caller is told whose request may not run: its key is none of the configuration in force, or this VM cannot tell
-     * whether it still is. Asked again before each send, since keys are withdrawn and knowledge grows old while requests wait.
+     * Finds the response to a request that may not run: its key is not in the configuration in force, or this VM cannot
+     * tell whether the key is still valid. Checked again before each send, since keys are revoked and the configuration
+     * ages while requests wait.
      */
     findRefusal(request: AccountRequest): AccountRefusal | undefined {
         const { route, demand, runs } = request;
@@ -176,8 +177,8 @@
         const { bounds } = this.options;
         const ageMs = this.configurationAgeMs;
         const account = this.findAccount(demand.key);
-        const isOld = bounds.isRevocationStrict && ageMs > bounds.revocationMs - sendMarginMs;
-        if (account !== undefined && !isOld) {
+        const isStale = bounds.isRevocationStrict && ageMs > bounds.revocationMs - sendMarginMs;
+        if (account !== undefined && !isStale) {
             return undefined;
         }
         const detail = { account: account?.name, key: formatKey(demand.key), configurationAgeMs: Math.round(ageMs) };
@@ -187,10 +188,10 @@
         if (runs > 0) {
             return { status: 502, reason: "configurationOld", detail };
         }
-        return { status: 503, reason: "configurationOld", retryAfterSeconds: unsureRetrySeconds, detail };
+        return { status: 503, reason: "configurationOld", retryAfterSeconds: unknownStateRetrySeconds, detail };
     }
 
-    /** What a request takes of its account's quota; undefined if there is none. */
+    /** Creates the claim of a request on its account's quota; undefined if the account has no quota. */
     createClaim(account: Account | undefined, demand: CallerDemand): QuotaClaim | undefined {
         if (account?.quota === undefined) {
             return undefined;
@@ -199,7 +200,7 @@
         return { account: account.name, limit: { perSecond, burst }, cost: readCost(account.quota, demand.tokens) };
     }
 
-    /** Claims a request's cost. @returns What its caller is told if it is not granted. */
+    /** Claims a request's cost. @returns The response to the caller if the cost is not granted. */
     async claimQuota(claim: QuotaClaim | undefined): Promise<OwnAnswer | undefined> {
         if (claim === undefined) {
             return undefined;
@@ -210,7 +211,7 @@
         return refusal;
     }
 
-    /** Gives back what a request was granted that has not run. */
+    /** Returns the granted cost of a request that did not run. */
     releaseQuota(claim: QuotaClaim | undefined): void {
         if (claim !== undefined) {
             this.quotas.release(claim);
@@ -237,14 +238,14 @@
     const { account, cost } = claim;
     if (verdict.kind === "unsure") {
         const detail = { account, cost };
-        return { status: 503, reason: "quotaUnknown", retryAfterSeconds: unsureRetrySeconds, detail };
+        return { status: 503, reason: "quotaUnknown", retryAfterSeconds: unknownStateRetrySeconds, detail };
     }
     const detail = { account, cost, balance: Math.round(verdict.balance), ...claim.limit };
     const retryAfterSeconds = verdict.waitMs === undefined ? undefined : verdict.waitMs / 1000;
     return { status: 429, reason: "quotaSpent", detail, ...(retryAfterSeconds !== undefined && { retryAfterSeconds }) };
 }
 
-/** Names a key in the log: nobody can send a request with it. */
+/** Formats a key for the log as a part of its digest, with which nobody can send a request. */
 function formatKey(key: CallerKey | undefined): string {
     if (key?.kind !== "key") {
         return key?.kind ?? "missing";
--- a/packages/node/src/accounts/index.ts
+++ b/packages/node/src/accounts/index.ts
@@ -1,4 +1,4 @@
-/** Client accounts: whose request it is, whether its key still counts, and what is left of the account's quota. */
+/** Client accounts: resolves a request's account, checks that its key is still valid, and enforces its quota. */
 export {
     type AccountBounds,
     AccountGuard,
--- a/packages/node/src/accounts/quotas.ts
+++ b/packages/node/src/accounts/quotas.ts
@@ -11,30 +11,30 @@
 import type { PeerMessage } from "../links/messages.js";
 
 /**
- * Groups into which accounts are dealt, each with a coordinator of its own. Every VM renews a lease with each coordinator, so
- * more groups cost more messages; fewer leave more of the claims to one VM.
+ * Number of groups to which accounts are assigned, each with a coordinator of its own. Every VM renews a lease with
+ * each coordinator, so more groups cost more messages; with fewer groups, one VM handles more of the claims.
  */
 const groupCount = 4;
 
 /**
- * Once a coordinator has not answered for this long the next one is asked beside it, in milliseconds: answers take some 3 ms, and
- * 0.1 s where a processor is busy. The next one only knows if others have turned to it as well.
+ * Time without a reply after which the next coordinator is asked as well, in milliseconds: replies take about 3 ms, and
+ * 0.1 s where a processor is busy. The next coordinator can only decide if other VMs lease their shares to it too.
  */
-const slowAnswerMs = 80;
+const hedgeDelayMs = 80;
 
-/** A coordinator that has not answered for this long is passed by, in milliseconds: it is lost, or stands still. */
-const answerTimeoutMs = 400;
+/** Time without a reply after which a coordinator is skipped, in milliseconds: it is unreachable or suspended. */
+const replyTimeoutMs = 400;
 
-/** How long a coordinator that did not answer is passed by, in milliseconds. */
-const silencePauseMs = 1000;
+/** How long a coordinator that did not reply is skipped, in milliseconds. */
+const unresponsiveSkipMs = 1000;
 
-/** Part of a lease after which it is renewed. */
-const renewShare = 0.5;
+/** Fraction of a lease's duration after which the lease is renewed. */
+const leaseRenewFraction = 0.5;
 
-/** How long the balance of an account that is gone is kept, in milliseconds: it may come back with the next configuration. */
-const forgetMs = 60_000;
+/** How long the balance of a removed account is kept, in milliseconds: the next configuration may contain it again. */
+const removedAccountRetentionMs = 60_000;
 
-/** Messages about quotas. */
+/** Messages between VMs about quotas. */
 export type QuotaMessage = Extract<PeerMessage, { type: "leaseShare" | "claimQuota" | "quotaAnswer" | "returnQuota"; }>;
 
 /** A claim on an account's quota. */
@@ -48,37 +48,38 @@
 export interface QuotasOptions {
     readonly vm: string;
     readonly bounds: QuotaBounds;
-    /** Time that goes on while the VM is suspended, in milliseconds. */
+    /** Clock that also counts while the VM is suspended, in milliseconds. */
     readonly readBoot: () => number;
     readonly timers: Timers;
-    /** VMs that can coordinate, as far as this VM knows, itself among them if it can. */
+    /** VMs that can coordinate, as far as this VM knows; includes this VM if it can. */
     readonly listCandidates: () => string[];
-    /** VMs that exist, as far as is known, this one included. */
+    /** Number of VMs that this VM knows to exist, itself included. */
     readonly countVms: () => number;
     /** Whether any account has a quota. */
     readonly isNeeded: () => boolean;
-    /** The quota of an account by this VM's configuration; undefined if it knows none. */
+    /** The quota of an account by this VM's configuration; undefined if the configuration has none. */
     readonly findLimit: (account: string) => QuotaLimit | undefined;
     /** Sends to another VM. @returns Whether it could be sent. */
     readonly send: (vm: string, message: QuotaMessage) => boolean;
 }
 
-interface OpenClaim {
+/** A claim that waits for the coordinator's reply. */
+interface PendingClaim {
     readonly vm: string;
     readonly finish: (verdict: QuotaVerdict | undefined) => void;
 }
 
-/** Claims parts of accounts' quotas for this VM's requests, and grants them as the coordinator of some accounts. */
+/** Claims quota for this VM's requests, and grants claims as the coordinator of some groups of accounts. */
 export class Quotas {
     private readonly pools: QuotaPool[];
-    /** Groups whose shares each VM leases to this one. */
-    private readonly lessors = new Map<string, readonly number[]>();
-    /** The coordinator of each group, as this VM has chosen it. */
+    /** Groups for which each VM leases its shares to this VM, by VM. */
+    private readonly leasedGroups = new Map<string, readonly number[]>();
+    /** The coordinator that this VM has chosen for each group. */
     private readonly coordinators: (string | undefined)[] = Array.from({ length: groupCount });
     private readonly leasedAt = new Map<string, number>();
-    private readonly silentUntil = new Map<string, number>();
-    private readonly claims = new Map<number, OpenClaim>();
-    private readonly goneSince = new Map<string, number>();
+    private readonly skippedUntil = new Map<string, number>();
+    private readonly pendingClaims = new Map<number, PendingClaim>();
+    private readonly removedSince = new Map<string, number>();
     private lastTicket = 0;
 
     constructor(private readonly options: QuotasOptions) {
@@ -86,14 +87,14 @@
         this.pools = Array.from({ length: groupCount }, () => new QuotaPool({ bounds, countVms }));
     }
 
-    /** Chooses coordinators, and renews what is leased to them. */
+    /** Chooses coordinators, and renews the leases of this VM's shares to them. */
     update(): void {
         if (!this.options.isNeeded()) {
             return;
         }
         this.chooseCoordinators();
         const now = this.options.readBoot();
-        const dueMs = readShareLeaseMs(this.options.bounds) * renewShare;
+        const dueMs = readShareLeaseMs(this.options.bounds) * leaseRenewFraction;
         for (const vm of new Set(this.coordinators)) {
             if (vm !== undefined && now - (this.leasedAt.get(vm) ?? -Infinity) >= dueMs) {
                 this.sendLease(vm);
@@ -101,64 +102,64 @@
         }
     }
 
-    /** Claims a request's cost; the answer is unsure if no coordinator can tell in time. */
+    /** Claims a request's cost. The verdict is `unsure` if no coordinator decides in time. */
     async claim(claim: QuotaClaim): Promise<QuotaVerdict> {
         const first = this.findCoordinator(claim.account);
-        const answer = this.ask(first, claim);
-        const quick = await this.waitAtMost(answer, slowAnswerMs);
-        if (quick !== undefined) {
-            return quick;
+        const firstReply = this.askCoordinator(first, claim);
+        const firstVerdict = await this.waitWithTimeout(firstReply, hedgeDelayMs);
+        if (firstVerdict !== undefined) {
+            return firstVerdict;
         }
-        const second = this.findOther(claim.account, first);
+        const second = this.findAlternateCoordinator(claim.account, first);
         if (second === undefined) {
-            return await answer ?? { kind: "unsure" };
+            return await firstReply ?? { kind: "unsure" };
         }
-        return this.chooseVerdict(claim, [[first, answer], [second, this.ask(second, claim)]]);
+        return this.chooseVerdict(claim, [[first, firstReply], [second, this.askCoordinator(second, claim)]]);
     }
 
-    /** Takes the first answer of those that know, and gives back what another one granted. */
+    /** Chooses the first decided verdict, and returns the cost that another coordinator granted in addition. */
     private async chooseVerdict(
         claim: QuotaClaim,
-        asked: readonly (readonly [string, Promise<QuotaVerdict | undefined>])[],
+        pending: readonly (readonly [string, Promise<QuotaVerdict | undefined>])[],
     ): Promise<QuotaVerdict> {
-        let taken: QuotaVerdict | undefined;
-        const takeAnswer = async (vm: string, answer: Promise<QuotaVerdict | undefined>): Promise<QuotaVerdict> => {
-            const verdict = await answer;
+        let chosen: QuotaVerdict | undefined;
+        const receiveVerdict = async (vm: string, reply: Promise<QuotaVerdict | undefined>): Promise<QuotaVerdict> => {
+            const verdict = await reply;
             if (verdict === undefined || verdict.kind === "unsure") {
-                throw new Error(`${vm} cannot tell`);
+                throw new Error(`coordinator ${vm} did not decide the quota claim`);
             }
-            if (taken !== undefined && verdict.kind === "granted") {
-                this.sendBack(vm, claim.account, claim.cost);
+            if (chosen !== undefined && verdict.kind === "granted") {
+                this.sendReturn(vm, claim.account, claim.cost);
             }
-            taken ??= verdict;
+            chosen ??= verdict;
             return verdict;
         };
-        const answers = asked.map(([vm, answer]) => takeAnswer(vm, answer));
-        return Promise.any(answers).catch((): QuotaVerdict => ({ kind: "unsure" }));
+        const verdicts = pending.map(([vm, reply]) => receiveVerdict(vm, reply));
+        return Promise.any(verdicts).catch((): QuotaVerdict => ({ kind: "unsure" }));
     }
 
-    /** Waits for a value; undefined if it takes longer. */
-    private async waitAtMost<Value>(value: Promise<Value>, ms: number): Promise<Value | undefined> {
+    /** Waits for a value; undefined if the wait exceeds the timeout. */
+    private async waitWithTimeout<Value>(value: Promise<Value>, ms: number): Promise<Value | undefined> {
         let finish: () => void = () => {};
-        const late = new Promise<undefined>(resolve => {
+        const timeout = new Promise<undefined>(resolve => {
             finish = () => resolve(undefined);
         });
-        // Left running, a timer for each claim would wake the process once more.
+        // Without cancellation, the timer of each claim would wake the process once more.
         const timer = this.options.timers.scheduleOnce(finish, ms);
-        const result = await Promise.race([value, late]);
+        const result = await Promise.race([value, timeout]);
         timer.cancel();
         return result;
     }
 
-    /** Gives back the cost of a request that has not run. */
+    /** Returns the cost of a request that did not run. */
     release({ account, cost }: QuotaClaim): void {
-        this.sendBack(this.findCoordinator(account), account, cost);
+        this.sendReturn(this.findCoordinator(account), account, cost);
     }
 
     receiveMessage(vm: string, message: QuotaMessage): void {
         switch (message.type) {
             case "leaseShare":
-                this.setLessor(vm, message.groups);
+                this.setLeasedGroups(vm, message.groups);
                 return;
             case "claimQuota":
                 this.options.send(vm, {
@@ -168,8 +169,9 @@
                 });
                 return;
             case "quotaAnswer":
-                // A claim that was given up is not given back: whether its coordinator counts it does not matter for long.
-                this.claims.get(message.ticket)?.finish(message.verdict);
+                // The cost of a claim that timed out is not returned: whether its coordinator counts it matters only
+                // for a short time.
+                this.pendingClaims.get(message.ticket)?.finish(message.verdict);
                 return;
             case "returnQuota":
                 this.findPool(message.account).addBack(message.account, message.cost);
@@ -177,11 +179,11 @@
         }
     }
 
-    /** A VM is out of reach: its share is its own again, and nothing is asked of it. */
+    /** Ends the leases of a VM that became unreachable, and fails the claims that wait for its reply. */
     removeVm(vm: string): void {
-        this.setLessor(vm, []);
+        this.setLeasedGroups(vm, []);
         this.leasedAt.delete(vm);
-        for (const claim of [...this.claims.values()]) {
+        for (const claim of [...this.pendingClaims.values()]) {
             if (claim.vm === vm) {
                 claim.finish(undefined);
             }
@@ -189,25 +191,25 @@
         this.update();
     }
 
-    /** Forgets the balances of accounts that have been gone for long. */
+    /** Drops the balances of accounts that were removed long ago. */
     expireOld(): void {
         const now = this.options.readBoot();
         for (const pool of this.pools) {
-            pool.removeAccounts(account => this.isGone(account, now));
+            pool.removeAccounts(account => this.isExpired(account, now));
         }
     }
 
-    private isGone(account: string, now: number): boolean {
+    private isExpired(account: string, now: number): boolean {
         if (this.options.findLimit(account) !== undefined) {
-            this.goneSince.delete(account);
+            this.removedSince.delete(account);
             return false;
         }
-        const since = this.goneSince.get(account) ?? now;
-        this.goneSince.set(account, since);
-        if (now - since < forgetMs) {
+        const since = this.removedSince.get(account) ?? now;
+        this.removedSince.set(account, since);
+        if (now - since < removedAccountRetentionMs) {
             return false;
         }
-        this.goneSince.delete(account);
+        this.removedSince.delete(account);
         return true;
     }
 
@@ -216,13 +218,13 @@
         const candidates = this.listResponsive();
         const changed = new Set<string>();
         for (let group = 0; group < groupCount; group += 1) {
-            const chosen = rankGroup(group, candidates)[0] ?? self;
-            const before = this.coordinators[group];
-            if (chosen !== before) {
+            const chosen = rankCoordinators(group, candidates)[0] ?? self;
+            const previous = this.coordinators[group];
+            if (chosen !== previous) {
                 this.coordinators[group] = chosen;
                 changed.add(chosen);
-                if (before !== undefined) {
-                    changed.add(before);
+                if (previous !== undefined) {
+                    changed.add(previous);
                 }
             }
         }
@@ -233,40 +235,40 @@
 
     private listResponsive(): string[] {
         const now = this.options.readBoot();
-        return this.options.listCandidates().filter(vm => now >= (this.silentUntil.get(vm) ?? -Infinity));
+        return this.options.listCandidates().filter(vm => now >= (this.skippedUntil.get(vm) ?? -Infinity));
     }
 
-    /** The VM that would coordinate an account without the one that does. */
-    private findOther(account: string, coordinator: string): string | undefined {
-        return rankGroup(readGroup(account), this.listResponsive()).find(vm => vm !== coordinator);
+    /** The VM that would coordinate an account if its coordinator failed. */
+    private findAlternateCoordinator(account: string, coordinator: string): string | undefined {
+        return rankCoordinators(readGroup(account), this.listResponsive()).find(vm => vm !== coordinator);
     }
 
-    /** A coordinator has not answered: this VM turns to another one. */
-    private recordSilence(ticket: number): void {
-        const claim = this.claims.get(ticket);
+    /** Fails a claim whose coordinator did not reply in time, and skips this coordinator for some time. */
+    private recordReplyTimeout(ticket: number): void {
+        const claim = this.pendingClaims.get(ticket);
         if (claim === undefined) {
             return;
         }
         claim.finish(undefined);
-        this.silentUntil.set(claim.vm, this.options.readBoot() + silencePauseMs);
+        this.skippedUntil.set(claim.vm, this.options.readBoot() + unresponsiveSkipMs);
         this.chooseCoordinators();
     }
 
-    /** Leases to a VM the groups for which it was chosen, and no others. */
+    /** Leases this VM's shares to a VM for the groups that it coordinates, and ends the leases of all other groups. */
     private sendLease(vm: string): void {
         const groups = this.coordinators.flatMap((coordinator, group) => coordinator === vm ? [group] : []);
         this.leasedAt.set(vm, this.options.readBoot());
         if (vm === this.options.vm) {
-            this.setLessor(vm, groups);
+            this.setLeasedGroups(vm, groups);
         }
         else {
             this.options.send(vm, { type: "leaseShare", groups });
         }
     }
 
-    private setLessor(vm: string, groups: readonly number[]): void {
+    private setLeasedGroups(vm: string, groups: readonly number[]): void {
         const now = this.options.readBoot();
-        for (const group of this.lessors.get(vm) ?? []) {
+        for (const group of this.leasedGroups.get(vm) ?? []) {
             if (!groups.includes(group)) {
                 this.pools[group]!.release(vm, now);
             }
@@ -274,7 +276,7 @@
         for (const group of groups) {
             this.pools[group]?.lease(vm, now);
         }
-        this.lessors.set(vm, groups.filter(group => group < groupCount));
+        this.leasedGroups.set(vm, groups.filter(group => group < groupCount));
     }
 
     private findCoordinator(account: string): string {
@@ -289,7 +291,7 @@
         return this.pools[readGroup(account)]!;
     }
 
-    private async ask(vm: string, claim: QuotaClaim): Promise<QuotaVerdict | undefined> {
+    private async askCoordinator(vm: string, claim: QuotaClaim): Promise<QuotaVerdict | undefined> {
         if (vm === this.options.vm) {
             return this.decide(vm, claim);
         }
@@ -298,11 +300,11 @@
         return new Promise(resolve => {
             const finish = (verdict: QuotaVerdict | undefined): void => {
                 timer.cancel();
-                this.claims.delete(ticket);
+                this.pendingClaims.delete(ticket);
                 resolve(verdict);
             };
-            const timer = this.options.timers.scheduleOnce(() => this.recordSilence(ticket), answerTimeoutMs);
-            this.claims.set(ticket, { vm, finish });
+            const timer = this.options.timers.scheduleOnce(() => this.recordReplyTimeout(ticket), replyTimeoutMs);
+            this.pendingClaims.set(ticket, { vm, finish });
             this.leasedAt.set(vm, this.options.readBoot());
             const { account, limit, cost } = claim;
             if (!this.options.send(vm, { type: "claimQuota", ticket, account, limit, cost })) {
@@ -314,15 +316,15 @@
     private decide(vm: string, { account, limit, cost }: QuotaClaim): QuotaVerdict {
         const now = this.options.readBoot();
         const pool = this.findPool(account);
-        // A claim renews what its VM has leased, as a message of its own would.
-        for (const group of this.lessors.get(vm) ?? []) {
+        // A claim also renews the leases of its VM, as a `leaseShare` message would.
+        for (const group of this.leasedGroups.get(vm) ?? []) {
             this.pools[group]!.lease(vm, now);
         }
-        // This VM may have a newer configuration than the one that asks, or an older one.
+        // This VM may have a newer or an older configuration than the VM that claims.
         return pool.claim(account, this.options.findLimit(account) ?? limit, cost, now);
     }
 
-    private sendBack(vm: string, account: string, cost: number): void {
+    private sendReturn(vm: string, account: string, cost: number): void {
         if (vm === this.options.vm) {
             this.findPool(account).addBack(account, cost);
         }
@@ -332,12 +334,12 @@
     }
 }
 
-/** VMs in the order in which they would coordinate a group. */
-function rankGroup(group: number, vms: readonly string[]): string[] {
+/** Ranks VMs by rendezvous hashing in the order in which they would coordinate a group. */
+function rankCoordinators(group: number, vms: readonly string[]): string[] {
     return rankHomes(`accounts ${group}`, vms.map(id => ({ id }))).map(({ id }) => id);
 }
 
-/** The group of an account. */
+/** The group to which an account is assigned. */
 function readGroup(account: string): number {
     return readShard(account, groupCount);
 }
