--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -9,18 +9,18 @@
 import { readLastSendAt } from "../requests/patience.js";
 import { type PermitMessage, Permits } from "./permits.js";
 import { CrashReports } from "./reports.js";
-import { CrashWatch, type ProbeAnswer, type UpstreamEnd } from "./watch.js";
+import { CrashMonitor, type ProbeResult, type UpstreamEnd } from "./watch.js";
 
 /**
- * Longest wait for word whether an upstream at which a request broke has ended, in milliseconds, before the request is sent
- * on: its address answers or refuses within some milliseconds, unless the path to it is cut.
+ * Longest wait for a probe's result before a request whose run broke is sent to another upstream, in milliseconds: the
+ * probed address accepts or refuses within a few milliseconds, unless the path to it is partitioned.
  */
-const breakWaitMs = 60;
+const probeResultWaitMs = 60;
 
 /** Options of {@link CrashGuard}. */
 export interface CrashGuardOptions {
     readonly vm: string;
-    /** Tells this process from others of the same VM. */
+    /** Distinguishes this process from earlier ones of the same VM. */
     readonly incarnation: number;
     readonly view: FleetView;
     readonly store: CrashReportStore;
@@ -29,31 +29,31 @@
     /** Sends to a VM, this one included. @returns Whether it could be sent. */
     readonly send: (vm: string, message: PeerMessage) => boolean;
     readonly broadcast: (message: PeerMessage) => void;
-    /** VMs that can be asked whether a suspected request may run, by all that may run it. */
+    /** VMs that can issue permits for suspect requests: all VMs that may run these requests choose among them. */
     readonly listReferees: () => string[];
-    /** Requests that wait should look again. */
+    /** Called when verdicts may have changed, so that waiting requests check theirs again. */
     readonly onChange: () => void;
-    /** An upstream has ended under requests of this VM. */
+    /** Called when the process of an upstream ended while it ran requests of this VM. */
     readonly onUpstreamEnd: (service: string) => void;
     /** @default opens a connection to the address and closes it */
-    readonly probe?: ((address: string) => Promise<ProbeAnswer>) | undefined;
+    readonly probe?: ((address: string) => Promise<ProbeResult>) | undefined;
 }
 
-/** When an attempt was sent, and when its first event came. */
+/** When an attempt was sent, and when its first event arrived. */
 export interface AttemptTimes {
     readonly sentAt: number;
     readonly begunAt: number | undefined;
 }
 
-/** Keeps requests that end each upstream that runs them from ending more. */
+/** Detects requests that end the upstream processes that run them, and refuses them. */
 export class CrashGuard {
-    private readonly watch: CrashWatch;
+    private readonly monitor: CrashMonitor;
     private readonly reports: CrashReports;
     private readonly permits: Permits;
 
     constructor(private readonly options: CrashGuardOptions) {
         const { vm, incarnation, store, log, readTime, broadcast, onChange, probe } = options;
-        this.watch = new CrashWatch({ readTime, probe, onEnd: end => this.recordUpstreamEnd(end) });
+        this.monitor = new CrashMonitor({ readTime, probe, onEnd: end => this.recordUpstreamEnd(end) });
         this.reports = new CrashReports({
             vm,
             incarnation,
@@ -62,25 +62,29 @@
             broadcast: report => broadcast({ type: "crashReports", reports: [report] }),
             onChange,
         });
-        this.permits = new Permits({ readTime, findReferee: request => this.findReferee(request), send: options.send });
+        this.permits = new Permits({
+            readTime,
+            findIssuer: request => this.findPermitIssuer(request),
+            send: options.send,
+        });
     }
 
-    /** Requests under which upstreams have ended, as far as this VM knows. */
+    /** Number of requests during which upstreams ended, as far as this VM knows. */
     get requestCount(): number {
         return this.reports.requestCount;
     }
 
-    /** Requests that were forgotten for want of room. */
+    /** Number of requests that were dropped because the quarantine was full. */
     get droppedCount(): number {
         return this.reports.droppedCount;
     }
 
-    /** Whether each upstream that ran a request has ended. */
+    /** Whether a request is quarantined: each upstream that ran it has ended. */
     isRefused({ digest }: Job): boolean {
         return this.reports.findVerdict(digest).kind === "refused";
     }
 
-    /** What a caller is told whose request is refused for that; undefined if it is not. */
+    /** The response to a quarantined request; undefined if the request is not quarantined. */
     findRefusal(job: Job): OwnAnswer | undefined {
         const verdict = this.reports.findVerdict(job.digest);
         if (verdict.kind !== "refused") {
@@ -94,65 +98,65 @@
         return { status: 503, reason: "endsUpstreams", retryAfterSeconds, detail };
     }
 
-    /** Whether a request is suspected and has no leave to run. */
+    /** Whether a request is suspect and has no permit to run. */
     isHeld(job: Job): boolean {
         return job.permit === undefined && this.reports.findVerdict(job.digest).kind === "suspected";
     }
 
-    /** Whether a request must wait for leave to run, and can. */
+    /** Whether a request needs a permit to run, and has time left to wait for it. */
     mayWaitForPermit(job: Job): boolean {
         return this.isHeld(job) && !job.caller.hasLeft && this.options.readTime() < readLastSendAt(job);
     }
 
-    /** Waits until a suspected request has leave to run, is cleared or refused, or its time ends. */
+    /** Waits until a suspect request has a permit to run, is cleared or refused, or runs out of time. */
     async waitForPermit(job: Job): Promise<void> {
         if (this.mayWaitForPermit(job)) {
             job.permit = await this.permits.claim(job.digest.full, () => this.mayWaitForPermit(job));
         }
     }
 
-    /** Ends a request's leave to run, if it has one. */
+    /** Releases a request's permit, if it has one. */
     endPermit(job: Job): void {
-        job.permit?.end();
+        job.permit?.release();
         job.permit = undefined;
     }
 
-    /** Learns from the end of an attempt. Resolves once it is known, or cannot be known soon, what it says of the request. */
+    /** Records the end of an attempt. Resolves once the upstream is probed, or after {@link probeResultWaitMs}. */
     async recordEnd(job: Job, upstream: Upstream, end: AttemptEnd, { sentAt, begunAt }: AttemptTimes): Promise<void> {
         if (end.kind === "complete" || end.kind === "failed") {
-            this.reports.recordWhole(job.digest);
+            this.reports.recordCompletion(job.digest);
             return;
         }
-        // An upstream that was leaving ends as planned, and a request that was taken back tells nothing of its upstream.
+        // A leaving upstream ends as planned, and an attempt that this VM aborted shows nothing about it.
         if (end.kind !== "broken" || end.reason === "versionReplaced" || !this.options.view.isUsable(upstream.id)) {
             return;
         }
         const now = this.options.readTime();
-        const settled = this.watch.recordBreak(upstream, {
+        const settled = this.monitor.recordBrokenRun(upstream, {
             requestId: job.demand.requestId,
             digest: job.digest,
             answeringMs: begunAt === undefined ? undefined : now - begunAt,
             sentMs: now - sentAt,
         });
-        await Promise.race([settled, wait(breakWaitMs)]);
+        await Promise.race([settled, wait(probeResultWaitMs)]);
     }
 
-    /** Requests that are refused. */
+    /** Lists the quarantined requests. */
     listRefused(): RefusedRequest[] {
         return this.reports.listRefused();
     }
 
-    /** Lets a refused request run again, on every VM. @returns Whether it was refused. */
+    /** Releases a request from quarantine, on all VMs. @returns Whether the request was quarantined. */
     release(request: string): boolean {
         return this.reports.release(request);
     }
 
-    /** An entry of an upstream came. */
+    /** Handles the announcement of an upstream. */
     receiveEntry(upstream: Upstream): void {
-        this.watch.receiveEntry(upstream);
+        this.monitor.receiveEntry(upstream);
     }
 
-    /** Takes what other VMs have seen. @returns What was new of it. */
+    /** Applies reports of other VMs. @returns The reports that were new. */
     receiveReports(reports: readonly CrashReport[]): CrashReport[] {
         return reports.filter(report => this.reports.applyReport(report));
     }
@@ -165,19 +169,19 @@
         this.permits.removeVm(vm);
     }
 
-    /** Reports that a VM must know which cannot read the store; mostly none. */
+    /** Lists the reports that a VM needs if it cannot read the store; usually none. */
     listReports(): CrashReport[] {
         return this.reports.listReports();
     }
 
-    /** What a VM is told whose link has just opened. */
+    /** Creates the messages to a VM whose link has just opened. */
     createGreeting(): PeerMessage[] {
         const reports = this.listReports();
         return reports.length === 0 ? [] : [{ type: "crashReports", reports }];
     }
 
     expireOld(): void {
-        this.watch.expireOld();
+        this.monitor.expireOld();
         this.reports.expireOld();
         this.permits.expireOld();
     }
@@ -199,11 +203,11 @@
                 answeringMs: answeringMs === undefined ? undefined : Math.round(answeringMs),
             })),
         });
-        this.reports.recordEnd(end);
+        this.reports.recordUpstreamEnd(end);
     }
 
-    /** The VM that all ask whether a suspected request may run. */
-    private findReferee(request: string): string | undefined {
+    /** The VM that issues the permits of a suspect request for all VMs. */
+    private findPermitIssuer(request: string): string | undefined {
         return rankHomes(request, this.options.listReferees().map(id => ({ id })))[0]?.id;
     }
 }
--- a/packages/node/src/crashes/index.ts
+++ b/packages/node/src/crashes/index.ts
@@ -1,3 +1,3 @@
-/** Requests that end each upstream that runs them: found, told to all VMs, kept, and refused. */
+/** Poison requests, which end each upstream process that runs them: detects, reports, stores and refuses them. */
 export { type AttemptTimes, CrashGuard, type CrashGuardOptions } from "./guard.js";
 export type { Permit, PermitMessage } from "./permits.js";
--- a/packages/node/src/crashes/permits.ts
+++ b/packages/node/src/crashes/permits.ts
@@ -2,54 +2,55 @@
 import { setTimeout as wait } from "node:timers/promises";
 import type { PeerMessage } from "../links/messages.js";
 
-/** A referee that has not answered for this long is taken to be gone, in milliseconds: answers take some 3 ms. */
-const answerTimeoutMs = 100;
+/** Time without a reply after which a permit issuer counts as unreachable, in milliseconds: replies take about 3 ms. */
+const replyTimeoutMs = 100;
 
-/** Pause before a request that may not run yet asks again, in milliseconds. */
-const askAgainMs = 50;
+/** Pause before a rejected permit claim is repeated, in milliseconds. */
+const retryIntervalMs = 50;
 
-/** Messages about permits. */
+/** Messages between VMs about permits. */
 export type PermitMessage = Extract<PeerMessage, { type: "claimPermit" | "permitAnswer" | "releasePermit"; }>;
 
-/** A run of a suspected request that the referee knows of. */
+/** Permission to run a suspect request, which its issuer has recorded. */
 export interface Permit {
-    end(): void;
+    release(): void;
 }
 
 /** Options of {@link Permits}. */
 export interface PermitsOptions {
     readonly readTime: () => number;
-    /** The VM that all VMs ask about this request, as far as each knows; undefined if there is none. */
-    readonly findReferee: (request: string) => string | undefined;
+    /** The VM that issues the permits of a request, as far as this VM knows; undefined if there is none. */
+    readonly findIssuer: (request: string) => string | undefined;
     /** Sends to a VM, this one included. @returns Whether it could be sent. */
     readonly send: (vm: string, message: PermitMessage) => boolean;
 }
 
-/** Asks for leave to run suspected requests, and gives it to other VMs. */
+/** Claims permits to run suspect requests, and issues permits to other VMs. */
 export class Permits {
-    private readonly referee = new PermitReferee();
-    private readonly waiting = new Map<number, (mayRun: boolean) => void>();
-    private tickets = 0;
+    private readonly issuer = new PermitReferee();
+    private readonly pendingClaims = new Map<number, (mayRun: boolean) => void>();
+    private lastTicket = 0;
 
     constructor(private readonly options: PermitsOptions) {}
 
     /**
-     * Waits until a suspected request may run. Without a referee that answers it may: what it ends is counted in any case.
-     * @param mayWait Asked before each pause.
-     * @returns Undefined if it may not, and may not wait any longer.
+     * Waits until a suspect request may run. A request whose issuer is missing or does not reply may run: the upstreams
+     * that it ends are counted in any case.
+     * @param mayWait Called before each pause; whether the request may wait any longer.
+     * @returns Undefined if the request may neither run nor wait any longer.
      */
     async claim(request: string, mayWait: () => boolean): Promise<Permit | undefined> {
-        this.tickets += 1;
-        const ticket = this.tickets;
+        this.lastTicket += 1;
+        const ticket = this.lastTicket;
         for (;;) {
-            const referee = this.options.findReferee(request);
-            if (referee === undefined || await this.askReferee(referee, request, ticket)) {
-                return { end: () => this.sendEnd(referee, request, ticket) };
+            const issuer = this.options.findIssuer(request);
+            if (issuer === undefined || await this.askIssuer(issuer, request, ticket)) {
+                return { release: () => this.sendRelease(issuer, request, ticket) };
             }
             if (!mayWait()) {
                 return undefined;
             }
-            await wait(askAgainMs);
+            await wait(retryIntervalMs);
         }
     }
 
@@ -57,45 +58,45 @@
         const { request, ticket } = message;
         switch (message.type) {
             case "claimPermit": {
-                const mayRun = this.referee.claim(request, vm, ticket, this.options.readTime());
+                const mayRun = this.issuer.claim(request, vm, ticket, this.options.readTime());
                 this.options.send(vm, { type: "permitAnswer", request, ticket, mayRun });
                 return;
             }
             case "permitAnswer":
-                this.waiting.get(ticket)?.(message.mayRun);
+                this.pendingClaims.get(ticket)?.(message.mayRun);
                 return;
             case "releasePermit":
-                this.referee.release(request, vm, ticket);
+                this.issuer.release(request, vm, ticket);
                 return;
         }
     }
 
     removeVm(vm: string): void {
-        this.referee.removeVm(vm);
+        this.issuer.removeVm(vm);
     }
 
     expireOld(): void {
-        this.referee.expireOld(this.options.readTime());
+        this.issuer.expireOld(this.options.readTime());
     }
 
-    private async askReferee(referee: string, request: string, ticket: number): Promise<boolean> {
+    private async askIssuer(issuer: string, request: string, ticket: number): Promise<boolean> {
         return new Promise(resolve => {
             const finish = (mayRun: boolean): void => {
                 clearTimeout(timer);
-                this.waiting.delete(ticket);
+                this.pendingClaims.delete(ticket);
                 resolve(mayRun);
             };
-            const timer = setTimeout(() => finish(true), answerTimeoutMs);
-            this.waiting.set(ticket, finish);
-            if (!this.options.send(referee, { type: "claimPermit", request, ticket })) {
+            const timer = setTimeout(() => finish(true), replyTimeoutMs);
+            this.pendingClaims.set(ticket, finish);
+            if (!this.options.send(issuer, { type: "claimPermit", request, ticket })) {
                 finish(true);
             }
         });
     }
 
-    private sendEnd(referee: string | undefined, request: string, ticket: number): void {
-        if (referee !== undefined) {
-            this.options.send(referee, { type: "releasePermit", request, ticket });
+    private sendRelease(issuer: string | undefined, request: string, ticket: number): void {
+        if (issuer !== undefined) {
+            this.options.send(issuer, { type: "releasePermit", request, ticket });
         }
     }
 }
--- a/packages/node/src/crashes/reports.ts
+++ b/packages/node/src/crashes/reports.ts
@@ -13,48 +13,48 @@
 import type { BrokenRun, UpstreamEnd } from "./watch.js";
 
 /**
- * How long clearances wait for others, in milliseconds: all that ran at an upstream when it ended is answered elsewhere
- * within some tenths of a second, and one message is enough for them.
+ * How long clearances are collected before they are sent in one message, in milliseconds: all requests that ran on an
+ * upstream when it ended are completed by other upstreams within some tenths of a second.
  */
-const clearanceWaitMs = 250;
+const clearanceBatchMs = 250;
 
-/** How often what no longer counts is looked for, in milliseconds. */
-const expiryMs = 10_000;
+/** Interval at which expired reports are dropped, in milliseconds. */
+const expiryIntervalMs = 10_000;
 
-/** Shortest and longest pause before a report is offered to the store again, in milliseconds. */
+/** Shortest and longest backoff before a report is sent to the store again, in milliseconds. */
 const minBackoffMs = 100;
 const maxBackoffMs = 500;
 
 /** Options of {@link CrashReports}. */
 export interface CrashReportsOptions {
     readonly vm: string;
-    /** Tells this process from others of the same VM. */
+    /** Distinguishes this process from earlier ones of the same VM. */
     readonly incarnation: number;
     readonly store: CrashReportStore;
     readonly log: DecisionLog;
     /** Unix time in milliseconds. @default Date.now */
     readonly readWall?: (() => number) | undefined;
-    /** Tells other VMs. */
+    /** Sends a report to all other VMs. */
     readonly broadcast: (report: CrashReport) => void;
-    /** A verdict may have changed. */
+    /** Called when a verdict may have changed. */
     readonly onChange: () => void;
     /** @default a quarantine with its defaults */
     readonly quarantine?: Quarantine | undefined;
 }
 
 /**
- * What this VM knows of requests that end upstreams, and how others learn of it: at once over links, and through the store,
- * which VMs read that were cut off, or start later.
+ * Holds what this VM knows about requests that end upstreams, and shares it: over links at once, and through the store
+ * for VMs that were disconnected or start later.
  */
 export class CrashReports {
     private readonly quarantine: Quarantine;
     private readonly readWall: () => number;
-    private readonly cleared = new Map<string, Clearance>();
-    private clearing: NodeJS.Timeout | undefined;
-    /** Names of the reports in the store that this VM drops when they are old: its own, and what others have left. */
-    private readonly kept = new Set<string>();
-    private reports = 0;
-    private expiredAt = 0;
+    private readonly pendingClearances = new Map<string, Clearance>();
+    private clearanceTimer: NodeJS.Timeout | undefined;
+    /** Names of the stored reports that this VM deletes once they expire: its own, and those of removed VMs. */
+    private readonly namesToExpire = new Set<string>();
+    private reportCount = 0;
+    private lastExpiryAt = 0;
     private isStopped = false;
 
     constructor(private readonly options: CrashReportsOptions) {
@@ -62,17 +62,17 @@
         this.readWall = options.readWall ?? Date.now;
     }
 
-    /** Requests under which upstreams have ended. */
+    /** Number of requests during which upstreams ended. */
     get requestCount(): number {
         return this.quarantine.requestCount;
     }
 
-    /** Requests that were forgotten for want of room. */
+    /** Number of requests that were dropped because the quarantine was full. */
     get droppedCount(): number {
         return this.quarantine.droppedCount;
     }
 
-    /** What is known against a request. Its body is digested only if another request like it but for the body is suspected. */
+    /** The verdict on a request. Its body is only digested if a known request is equal in all other parts. */
     findVerdict(digest: RequestDigest): RequestVerdict {
         if (this.quarantine.requestCount === 0 || !this.quarantine.mayKnow(digest.head)) {
             return { kind: "unknown" };
@@ -80,8 +80,8 @@
         return this.quarantine.findVerdict(digest.full, this.readWall());
     }
 
-    /** Runs of this VM broke as the process of their upstream ended. */
-    recordEnd({ upstream, runs }: UpstreamEnd): void {
+    /** Records that the process of an upstream ended while it ran requests of this VM. */
+    recordUpstreamEnd({ upstream, runs }: UpstreamEnd): void {
         const now = this.readWall();
         const crash: Crash = { upstream: upstream.id, at: now, requests: listDigests(runs) };
         this.quarantine.applyCrash(crash, now);
@@ -90,8 +90,8 @@
         this.options.onChange();
     }
 
-    /** An upstream has answered a request whole: it does not end each that runs it. */
-    recordWhole(digest: RequestDigest): void {
+    /** Records that an upstream completed a request: the request does not end each upstream that runs it. */
+    recordCompletion(digest: RequestDigest): void {
         const verdict = this.findVerdict(digest);
         if (verdict.kind === "unknown") {
             return;
@@ -104,11 +104,11 @@
             this.sendReport({ crashes: [], clearances: [clearance] }, true);
             return;
         }
-        this.cleared.set(clearance.request, clearance);
-        this.clearing ??= setTimeout(() => this.sendClearances(), clearanceWaitMs);
+        this.pendingClearances.set(clearance.request, clearance);
+        this.clearanceTimer ??= setTimeout(() => this.sendClearances(), clearanceBatchMs);
     }
 
-    /** Lets a refused request run again, on every VM. @returns Whether it was refused. */
+    /** Releases a request from quarantine, on all VMs. @returns Whether the request was quarantined. */
     release(request: string): boolean {
         const now = this.readWall();
         const verdict = this.quarantine.findVerdict(request, now);
@@ -126,11 +126,11 @@
         return this.quarantine.listRefused(this.readWall());
     }
 
-    /** Takes what another VM has seen, or this one in an earlier life. @returns Whether it was new. */
+    /** Applies a report of another VM, or of an earlier process of this VM. @returns Whether the report was new. */
     applyReport(report: CrashReport): boolean {
         const now = this.readWall();
         if (report.name.startsWith(`${this.options.vm}/`) || this.quarantine.isForgotten(report, now)) {
-            this.kept.add(report.name);
+            this.namesToExpire.add(report.name);
         }
         const isNew = this.quarantine.applyReport(report, now);
         if (isNew) {
@@ -140,22 +140,22 @@
         return isNew;
     }
 
-    /** What a VM is told whose link has just opened. */
+    /** Lists the reports that are sent to a VM whose link has just opened. */
     listReports(): CrashReport[] {
         return this.quarantine.listReports(this.readWall());
     }
 
-    /** Forgets what no longer counts, in the store too. */
+    /** Drops expired reports, and deletes them from the store. */
     expireOld(): void {
         const now = this.readWall();
-        if (Math.abs(now - this.expiredAt) < expiryMs) {
+        if (Math.abs(now - this.lastExpiryAt) < expiryIntervalMs) {
             return;
         }
-        this.expiredAt = now;
+        this.lastExpiryAt = now;
         this.quarantine.expireOld(now);
-        for (const name of this.kept) {
+        for (const name of this.namesToExpire) {
             if (!this.quarantine.hasReport(name)) {
-                this.kept.delete(name);
+                this.namesToExpire.delete(name);
                 void this.options.store.appendCrashReport(name, undefined);
             }
         }
@@ -163,30 +163,30 @@
 
     stop(): void {
         this.isStopped = true;
-        clearTimeout(this.clearing);
+        clearTimeout(this.clearanceTimer);
     }
 
     private sendClearances(): void {
-        this.clearing = undefined;
-        const clearances = [...this.cleared.values()];
-        this.cleared.clear();
+        this.clearanceTimer = undefined;
+        const clearances = [...this.pendingClearances.values()];
+        this.pendingClearances.clear();
         this.sendReport({ crashes: [], clearances }, false);
     }
 
-    /** @param isKept Whether the store keeps it. */
-    private sendReport(content: Omit<CrashReport, "name">, isKept: boolean): void {
+    /** Broadcasts a report. @param isStored Whether the report is also written to the store. */
+    private sendReport(content: Omit<CrashReport, "name">, isStored: boolean): void {
         const { vm, incarnation, broadcast } = this.options;
-        this.reports += 1;
-        const report = { name: `${vm}/${incarnation}/${this.reports}`, ...content };
+        this.reportCount += 1;
+        const report = { name: `${vm}/${incarnation}/${this.reportCount}`, ...content };
         this.quarantine.addReport(report);
         broadcast(report);
-        if (isKept) {
-            this.kept.add(report.name);
+        if (isStored) {
+            this.namesToExpire.add(report.name);
             void this.appendReport(report);
         }
     }
 
-    /** Writes a report to the store, as soon as that takes it. */
+    /** Writes a report to the store, and retries until the store accepts it. */
     private async appendReport(report: CrashReport): Promise<void> {
         for (let backoffMs = minBackoffMs; !this.isStopped; backoffMs = Math.min(backoffMs * 2, maxBackoffMs)) {
             if (await this.options.store.appendCrashReport(report.name, report)) {
--- a/packages/node/src/crashes/watch.ts
+++ b/packages/node/src/crashes/watch.ts
@@ -4,76 +4,77 @@
 import { processTimers, type Timers } from "../clock.js";
 import type { RequestDigest } from "../requests/digest.js";
 
-/** Waits before an upstream is asked whether it still listens, in milliseconds; a further one where nothing was learned. */
-const probeWaitsMs = [5, 250, 1000];
+/** Delays before the probes of an upstream, in milliseconds; each further probe is only sent after a silent one. */
+const probeDelaysMs = [5, 250, 1000];
 
-/** Longest wait for the answer to a probe, in milliseconds. */
+/** Longest wait for the result of a probe, in milliseconds. */
 const probeTimeoutMs = 400;
 
-/** How long runs that broke are kept for word that their upstream has ended, in milliseconds: one starts anew within 5 s. */
-const pendingMs = 10_000;
+/** How long an upstream whose runs broke is watched for its end, in milliseconds: an upstream restarts within 5 s. */
+const watchLifetimeMs = 10_000;
 
 /**
- * A run that its upstream had been answering for this long is not taken for what ended it, in milliseconds: what a request
- * does to an upstream it does when it begins to run.
+ * Time since its first event after which a run does not count as the cause of its upstream's end, in milliseconds: a
+ * request that ends upstreams does so when it starts to run.
  */
-const steadyRunMs = 200;
+const stableRunMs = 200;
 
-/** What a probe says: nothing listens there, something does, or nothing came back. */
-export type ProbeAnswer = "refused" | "open" | "silent";
+/** Result of a probe: the address refuses connections, accepts them, or does not respond. */
+export type ProbeResult = "refused" | "open" | "silent";
 
-/** One run that broke before its answer was whole. */
+/** A run whose connection broke before its response was complete. */
 export interface BrokenRun {
     readonly requestId: string | undefined;
     readonly digest: RequestDigest;
-    /** Time since its first event came, in milliseconds; undefined if none had come. */
+    /** Time since the first event arrived, in milliseconds; undefined if none had arrived. */
     readonly answeringMs: number | undefined;
-    /** Time since it was sent, in milliseconds. */
+    /** Time since the run was sent, in milliseconds. */
     readonly sentMs: number;
 }
 
-/** An upstream whose process has ended, and the runs of this VM that it took with it. */
+/** An upstream whose process ended, and the runs of this VM that broke with it. */
 export interface UpstreamEnd {
     readonly upstream: Upstream;
     readonly runs: readonly BrokenRun[];
 }
 
-/** Options of {@link CrashWatch}. */
-export interface CrashWatchOptions {
+/** Options of {@link CrashMonitor}. */
+export interface CrashMonitorOptions {
     readonly readTime: () => number;
     readonly onEnd: (end: UpstreamEnd) => void;
     /** @default opens a connection to the address and closes it */
-    readonly probe?: ((address: string) => Promise<ProbeAnswer>) | undefined;
+    readonly probe?: ((address: string) => Promise<ProbeResult>) | undefined;
     /** @default timers of this process */
     readonly timers?: Timers | undefined;
 }
 
-/** An upstream at which runs broke. */
+/** An upstream whose runs broke. */
 interface WatchedUpstream {
     readonly upstream: Upstream;
     readonly brokenAt: number;
     readonly runs: BrokenRun[];
     state: "asked" | "listening" | "ended";
-    /** Resolves once the first probe is answered, or has not been in time. */
+    /** Resolves once the first probe has a result, or timed out. */
     readonly settled: Promise<void>;
     readonly settle: () => void;
 }
 
 /**
- * Tells upstreams that have ended from those that only lost a connection: either way a run breaks alike. One has ended when
- * its address refuses connections, or another process has taken it. A silent address says nothing: the path may be cut.
+ * Distinguishes upstreams that ended from upstreams that only lost a connection: a run breaks in the same way in both
+ * cases. An upstream has ended if its address refuses connections, or another process uses that address. An address
+ * that does not respond proves nothing, because the path to it may be partitioned.
  */
-export class CrashWatch {
+export class CrashMonitor {
     private readonly watched = new Map<string, WatchedUpstream>();
 
-    constructor(private readonly options: CrashWatchOptions) {}
+    constructor(private readonly options: CrashMonitorOptions) {}
 
-    /** A run broke at an upstream that had not said that it leaves. Resolves once it is known whether that one has ended. */
-    async recordBreak(upstream: Upstream, run: BrokenRun): Promise<void> {
+    /** Records a broken run of an upstream that is not leaving. Resolves after the first probe of the upstream. */
+    async recordBrokenRun(upstream: Upstream, run: BrokenRun): Promise<void> {
         const known = this.watched.get(upstream.id);
-        // One that listened after an earlier break may have ended since.
+        // An upstream that accepted connections after an earlier break may have ended since.
         const watched = known === undefined || known.state === "listening" ? this.startWatch(upstream) : known;
-        if ((run.answeringMs ?? 0) < steadyRunMs) {
+        if ((run.answeringMs ?? 0) < stableRunMs) {
             watched.runs.push(run);
             if (watched.state === "ended") {
                 this.options.onEnd({ upstream, runs: [run] });
@@ -82,20 +83,20 @@
         return watched.settled;
     }
 
-    /** An entry of an upstream came: another process may have taken the address of one that is watched. */
+    /** Handles the announcement of an upstream. A watched upstream has ended if this one uses its address. */
     receiveEntry(upstream: Upstream): void {
         for (const watched of this.watched.values()) {
             if (watched.upstream.address === upstream.address && watched.upstream.id !== upstream.id) {
-                this.recordEnd(watched);
+                this.recordUpstreamEnd(watched);
             }
         }
     }
 
-    /** Forgets upstreams of which nothing was heard for long. */
+    /** Drops upstreams whose end was not detected in time. */
     expireOld(): void {
-        const before = this.options.readTime() - pendingMs;
+        const brokenBefore = this.options.readTime() - watchLifetimeMs;
         for (const [id, { brokenAt }] of this.watched) {
-            if (brokenAt < before) {
+            if (brokenAt < brokenBefore) {
                 this.watched.delete(id);
             }
         }
@@ -114,7 +115,7 @@
     }
 
     private scheduleProbe(watched: WatchedUpstream, index: number): void {
-        const waitMs = probeWaitsMs[index];
+        const waitMs = probeDelaysMs[index];
         if (waitMs === undefined) {
             return;
         }
@@ -127,10 +128,10 @@
             return;
         }
         const { probe = openProbe } = this.options;
-        const answer = await probe(watched.upstream.address);
-        switch (answer) {
+        const result = await probe(watched.upstream.address);
+        switch (result) {
             case "refused":
-                this.recordEnd(watched);
+                this.recordUpstreamEnd(watched);
                 break;
             case "open":
                 watched.state = "listening";
@@ -138,11 +139,11 @@
             case "silent":
                 this.scheduleProbe(watched, index + 1);
         }
-        // Requests wait for the first answer only: an address that stays silent may be behind a cut.
+        // Requests only wait for the first probe: the path to an address that does not respond may be partitioned.
         watched.settle();
     }
 
-    private recordEnd(watched: WatchedUpstream): void {
+    private recordUpstreamEnd(watched: WatchedUpstream): void {
         if (watched.state === "ended") {
             return;
         }
@@ -154,15 +155,15 @@
     }
 }
 
-/** Opens a connection and closes it at once. */
-async function openProbe(address: string): Promise<ProbeAnswer> {
+/** Probes an address: opens a connection and closes it at once. */
+async function openProbe(address: string): Promise<ProbeResult> {
     const { host, port } = parseAddress(address);
     return new Promise(resolve => {
         const socket = connect({ host, port });
-        const finish = (answer: ProbeAnswer): void => {
+        const finish = (result: ProbeResult): void => {
             clearTimeout(timer);
             socket.destroy();
-            resolve(answer);
+            resolve(result);
         };
         const timer = setTimeout(() => finish("silent"), probeTimeoutMs);
         socket.once("connect", () => finish("open"));
--- a/packages/node/test/crashreports.test.ts
+++ b/packages/node/test/crashreports.test.ts
@@ -37,7 +37,7 @@
     const waitForOffers = (offers: number): Promise<void> =>
         offered.length >= offers ? Promise.resolve() : new Promise(resolve => waiting.push({ offers, resolve }));
     const recordEnd = (upstream: string, ...paths: string[]): void =>
-        reports.recordEnd({
+        reports.recordUpstreamEnd({
             upstream: createUpstream(upstream),
             runs: paths.map(path => ({
                 requestId: path,
@@ -60,7 +60,7 @@
         },
     } as RequestDigest;
     assert.is(reports.findVerdict(digest).kind, "unknown");
-    reports.recordWhole(digest);
+    reports.recordCompletion(digest);
 });
 
 test("an upstream's end is one message and one record, however many requests ran there", async () => {
@@ -84,10 +84,10 @@
     recordEnd("e1", "/a", "/b", "/c");
     recordEnd("e2", "/c");
     await waitForOffers(2);
-    reports.recordWhole(createDigest("/c"));
+    reports.recordCompletion(createDigest("/c"));
     await waitForOffers(3);
-    reports.recordWhole(createDigest("/a"));
-    reports.recordWhole(createDigest("/b"));
+    reports.recordCompletion(createDigest("/a"));
+    reports.recordCompletion(createDigest("/b"));
     while (sent.length < 4) {
         await new Promise(resolve => setImmediate(resolve));
     }
--- a/packages/node/test/crashwatch.test.ts
+++ b/packages/node/test/crashwatch.test.ts
@@ -3,11 +3,11 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { Timers } from "../src/clock.js";
-import { type BrokenRun, CrashWatch, type ProbeAnswer, type UpstreamEnd } from "../src/crashes/watch.js";
+import { type BrokenRun, CrashMonitor, type ProbeResult, type UpstreamEnd } from "../src/crashes/watch.js";
 import { createDigest, createUpstream } from "./fixtures.js";
 
 /** A watch whose timers run when the test says so, and whose probes are answered as the test says. */
-function createWatch(answers: ProbeAnswer[]) {
+function createWatch(answers: ProbeResult[]) {
     const scheduled: { run: () => void; waitMs: number; }[] = [];
     const ends: UpstreamEnd[] = [];
     const asked: string[] = [];
@@ -19,7 +19,7 @@
         scheduleEvery: () => ({ cancel: () => {} }),
     };
     let now = 0;
-    const watch = new CrashWatch({
+    const watch = new CrashMonitor({
         readTime: () => now,
         onEnd: end => ends.push({ upstream: end.upstream, runs: [...end.runs] }),
         probe: async address => {
@@ -48,8 +48,8 @@
 
 test("an upstream that refuses connections after runs broke there has ended, with all of them, by one probe", async () => {
     const { watch, ends, asked, runTimers } = createWatch(["refused"]);
-    void watch.recordBreak(upstream, createRun("/a"));
-    const settled = watch.recordBreak(upstream, createRun("/b"));
+    void watch.recordBrokenRun(upstream, createRun("/a"));
+    const settled = watch.recordBrokenRun(upstream, createRun("/b"));
     await runTimers();
     await settled;
     assert.equal(asked, ["10.0.0.1:1"]);
@@ -58,25 +58,25 @@
 
 test("a run whose break is noticed after its upstream's end counts too", async () => {
     const { watch, ends, runTimers } = createWatch(["refused"]);
-    void watch.recordBreak(upstream, createRun("/a"));
+    void watch.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
-    void watch.recordBreak(upstream, createRun("/b"));
+    void watch.recordBrokenRun(upstream, createRun("/b"));
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/a"], ["/b"]]);
 });
 
 test("an upstream that still listens has only lost a connection, and may end at the next break", async () => {
     const { watch, ends, runTimers } = createWatch(["open", "refused"]);
-    void watch.recordBreak(upstream, createRun("/a"));
+    void watch.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
     assert.equal(ends, []);
-    void watch.recordBreak(upstream, createRun("/b"));
+    void watch.recordBrokenRun(upstream, createRun("/b"));
     await runTimers();
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/b"]]);
 });
 
 test("an upstream that does not answer has ended once another process has its address", async () => {
     const { watch, ends, runTimers } = createWatch(["silent", "silent", "silent"]);
-    const settled = watch.recordBreak(upstream, createRun("/a"));
+    const settled = watch.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
     // Nobody waits for what only time can tell.
     await settled;
@@ -91,7 +91,7 @@
 
 test("an upstream of which nothing is heard for long is forgotten", async () => {
     const { watch, ends, setTime } = createWatch([]);
-    void watch.recordBreak(upstream, createRun("/a"));
+    void watch.recordBrokenRun(upstream, createRun("/a"));
     setTime(10_001);
     watch.expireOld();
     watch.receiveEntry(createUpstream("e3", { address: "10.0.0.1:1" }));
@@ -100,8 +100,8 @@
 
 test("a run that had been answered for some time is not what ended its upstream", async () => {
     const { watch, ends, runTimers } = createWatch(["refused"]);
-    void watch.recordBreak(upstream, createRun("/long", 200));
-    void watch.recordBreak(upstream, createRun("/short", 199));
+    void watch.recordBrokenRun(upstream, createRun("/long", 200));
+    void watch.recordBrokenRun(upstream, createRun("/short", 199));
     await runTimers();
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/short"]]);
 });
@@ -111,11 +111,11 @@
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     const ends: string[] = [];
-    const watch = new CrashWatch({ readTime: () => 0, onEnd: end => ends.push(end.upstream.id) });
-    await watch.recordBreak(createUpstream("listening", { address }), createRun("/a"));
+    const watch = new CrashMonitor({ readTime: () => 0, onEnd: end => ends.push(end.upstream.id) });
+    await watch.recordBrokenRun(createUpstream("listening", { address }), createRun("/a"));
     assert.equal(ends, []);
     await new Promise<void>(resolve => server.close(() => resolve()));
-    await watch.recordBreak(createUpstream("gone", { address }), createRun("/a"));
+    await watch.recordBrokenRun(createUpstream("gone", { address }), createRun("/a"));
     assert.equal(ends, ["gone"]);
 });
 
--- a/packages/node/test/permits.test.ts
+++ b/packages/node/test/permits.test.ts
@@ -11,7 +11,7 @@
             name,
             new Permits({
                 readTime: () => 0,
-                findReferee,
+                findIssuer: findReferee,
                 send: (to: string, message: PermitMessage) => {
                     if (!isCut.has(to)) {
                         vms.get(to)!.receiveMessage(name, message);
@@ -32,7 +32,7 @@
     const second = vms.get("b")!.claim("r", () => {
         if (!hasAsked) {
             hasAsked = true;
-            first.end();
+            first.release();
         }
         return true;
     });
