--- a/packages/node/src/accounts/guard.ts
+++ b/packages/node/src/accounts/guard.ts
@@ -68,7 +68,7 @@
     readonly listCoordinators: () => string[];
     /** Number of VMs that this VM knows to exist, itself included. */
     readonly countVms: () => number;
-    /** Sends to another VM. @returns Whether it could be sent. */
+    /** Sends a message to another VM. @returns Whether the message could be sent. */
     readonly send: (vm: string, message: PeerMessage) => boolean;
     /** Called when a request was admitted, or refused for a reason; the account is undefined if it is unknown. */
     readonly onVerdict: (account: string | undefined, verdict: AccountVerdict) => void;
--- a/packages/node/src/accounts/quotas.ts
+++ b/packages/node/src/accounts/quotas.ts
@@ -59,7 +59,7 @@
     readonly isNeeded: () => boolean;
     /** The quota of an account by this VM's configuration; undefined if the configuration has none. */
     readonly findLimit: (account: string) => QuotaLimit | undefined;
-    /** Sends to another VM. @returns Whether it could be sent. */
+    /** Sends a message to another VM. @returns Whether the message could be sent. */
     readonly send: (vm: string, message: QuotaMessage) => boolean;
 }
 
--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -26,7 +26,7 @@
     readonly store: CrashReportStore;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** Sends to a VM, this one included. @returns Whether it could be sent. */
+    /** Sends a message to a VM, this one included. @returns Whether the message could be sent. */
     readonly send: (vm: string, message: PeerMessage) => boolean;
     readonly broadcast: (message: PeerMessage) => void;
     /** VMs that can issue permits for suspect requests: all VMs that may run these requests choose among them. */
--- a/packages/node/src/crashes/permits.ts
+++ b/packages/node/src/crashes/permits.ts
@@ -21,7 +21,7 @@
     readonly readTime: () => number;
     /** The VM that issues the permits of a request, as far as this VM knows; undefined if there is none. */
     readonly findIssuer: (request: string) => string | undefined;
-    /** Sends to a VM, this one included. @returns Whether it could be sent. */
+    /** Sends a message to a VM, this one included. @returns Whether the message could be sent. */
     readonly send: (vm: string, message: PermitMessage) => boolean;
 }
 
