--- a/packages/node/test/accounts.test.ts
+++ b/packages/node/test/accounts.test.ts
@@ -6,7 +6,7 @@
 import { processTimers } from "../src/clock.js";
 import { AccountWorld } from "./accountworld.js";
 
-/** Tokens of a large request, and of a small one. */
+/** Costs of a large and of a small request, in tokens. */
 const largeCost = 9300;
 const smallCost = 200;
 
@@ -17,19 +17,19 @@
     return { name, keys, quota: { unit: "tokens", perSecond, burst: perSecond, usualTokens: smallCost } };
 }
 
-/** Each VM gets a request with each of these keys at this pace, for some time. */
+/** Sends a request to each VM in each interval, with the given keys in turn, for some time. */
 async function runRequests(world: AccountWorld, keys: readonly string[], ms: number, everyMs = 100): Promise<void> {
     const until = world.schedule.now + ms;
-    for (let turn = 0; world.schedule.now < until; turn += 1) {
-        for (const life of world.lives.values()) {
-            const key = keys[turn % keys.length]!;
-            life.schedule(() => void life.serve(key, smallCost, turn % 7 * 40));
+    for (let round = 0; world.schedule.now < until; round += 1) {
+        for (const vmProcess of world.processes.values()) {
+            const key = keys[round % keys.length]!;
+            vmProcess.schedule(() => void vmProcess.serve(key, smallCost, round % 7 * 40));
         }
         await world.schedule.advance(everyMs);
     }
 }
 
-test("a key that was added is served by every VM within some 0.1 s, and nobody is denied for it", async () => {
+test("an added key is served by every VM within 0.1 s, and no request with it is refused", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
     world.setAccounts([createAccount("one", ["k1"]), createAccount("two", ["k2"])]);
@@ -39,11 +39,11 @@
     assert.equal(world.refused, []);
 });
 
-test("a key that was withdrawn is refused by all VMs, and a request that waits is refused when it is to be sent", async () => {
+test("a revoked key is refused by all VMs, and a waiting request with it is refused before it is sent", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1", "k2"])]);
-    const life = world.lives.get("b1")!;
-    void life.serve("k2", smallCost, 400);
+    const vmProcess = world.processes.get("b1")!;
+    void vmProcess.serve("k2", smallCost, 400);
     world.setAccounts([createAccount("one", ["k1"])]);
     await world.schedule.advance(500);
     assert.equal(world.refused.map(({ status, reason }) => [status, reason]), [[401, "withheld"]]);
@@ -53,7 +53,7 @@
     world.checkDenials();
 });
 
-test("a VM that is cut off serves known keys for 3 s, refuses them as not run after that, and serves again at once", async () => {
+test("a disconnected VM serves known keys for 3 s, then refuses them as not run until it is reconnected", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
     world.closePaths(["c2"], true);
@@ -76,7 +76,7 @@
     world.checkKeys();
 });
 
-test("a VM that the store turns away goes on with what others confirm", async () => {
+test("VMs that do not reach the store continue to serve with confirmations of other VMs", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
     world.cutOff.add("c1").add("c2");
@@ -84,42 +84,42 @@
     assert.equal(world.refused, []);
 });
 
-test("a VM that stood still knows at once that what it knows is old", async () => {
+test("a VM that was suspended detects at once that its configuration is too old", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
-    const life = world.lives.get("b2")!;
+    const vmProcess = world.processes.get("b2")!;
     world.closePaths(["b2"], true);
-    void life.serve("k1", smallCost, 50);
-    life.pause(8000);
+    void vmProcess.serve("k1", smallCost, 50);
+    vmProcess.pause(8000);
     world.setAccounts([createAccount("one", ["k9"])]);
     await world.schedule.advance(9000);
     assert.equal(world.arrived, []);
 });
 
-test("a VM that hears nothing denies no key that others may know by now", async () => {
+test("a disconnected VM responds 503, not 401, to a key that other VMs may know by now", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
     world.closePaths(["c2"], true);
     world.setAccounts([createAccount("one", ["k1", "k2"])]);
     await world.schedule.advance(6500);
-    void world.lives.get("c2")!.serve("k2", smallCost, 5);
+    void world.processes.get("c2")!.serve("k2", smallCost, 5);
     await world.schedule.advance(100);
     assert.equal(world.refused.map(({ status }) => status), [503]);
 });
 
-test("a VM asks another one before it denies a key", async () => {
+test("a VM queries another VM before it refuses an unknown key", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"])]);
     world.losesBroadcasts = true;
     world.setAccounts([createAccount("one", ["k1", "k2"])]);
     await world.schedule.advance(100);
-    void world.lives.get("b2")!.serve("k2", smallCost, 5);
+    void world.processes.get("b2")!.serve("k2", smallCost, 5);
     await world.schedule.advance(100);
     assert.is(world.arrived.length, 1);
 });
 
-/** What one VM knows that has asked another one at 1000 ms and is answered at `answeredAt`. */
-function readAnsweredAge(answeredAt: number, position: number): number {
+/** Age of a VM's confirmation after it queried another VM at 1000 ms and received the reply at `repliedAt`. */
+function readAgeAfterReply(repliedAt: number, position: number): number {
     let now = 0;
     const queries: number[] = [];
     const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
@@ -143,25 +143,25 @@
     });
     now = 1000;
     confirmations.update();
-    now = answeredAt;
+    now = repliedAt;
     confirmations.receiveMessage("other", { type: "confirmation", query: queries[0]!, position, ageMs: 100 });
     return confirmations.readAgeMs();
 }
 
-test("an answer counts from when the question was sent, however long it was on its way", () => {
-    assert.is(readAnsweredAge(1005, 7), 105);
-    assert.is(readAnsweredAge(4000, 7), 3100);
+test("a confirmation counts from the time at which its query was sent, however late the reply arrives", () => {
+    assert.is(readAgeAfterReply(1005, 7), 105);
+    assert.is(readAgeAfterReply(4000, 7), 3100);
 });
 
-test("a VM that lacks a configuration takes no word that its own is the newest", () => {
-    assert.is(readAnsweredAge(1005, 6), 105);
-    assert.is(readAnsweredAge(1005, 8), Infinity);
+test("a confirmation of a configuration that a VM lacks does not confirm the VM's older configuration", () => {
+    assert.is(readAgeAfterReply(1005, 6), 105);
+    assert.is(readAgeAfterReply(1005, 8), Infinity);
 });
 
-test("a key that moves to another account is served for that one, also where it waits meanwhile", async () => {
+test("requests with a key that moved to another account run under the new account, even if they waited meanwhile", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"]), createAccount("two", [])]);
-    void world.lives.get("a2")!.serve("k1", smallCost, 300);
+    void world.processes.get("a2")!.serve("k1", smallCost, 300);
     world.setAccounts([createAccount("one", []), createAccount("two", ["k1"])]);
     await world.schedule.advance(400);
     await runRequests(world, ["k1"], 500);
@@ -169,14 +169,14 @@
     assert.ok(world.arrived.every(({ account }) => account === "two"));
 });
 
-test("one VM alone may use all of an account's limit, and so may all of them together", async () => {
+test("an account's whole limit can be used through one VM alone and through all VMs together", async () => {
     for (const senders of [["a1"], vms]) {
         const world = new AccountWorld(vms, readDataCentre);
         await world.start([createAccount("one", ["k1"], 100_000)]);
         for (let step = 0; step < 200; step += 1) {
-            const life = world.lives.get(senders[step % senders.length]!)!;
+            const vmProcess = world.processes.get(senders[step % senders.length]!)!;
             // 93,000 tokens a second, in requests that are larger than a VM's share of a burst.
-            void life.serve("k1", largeCost, 5);
+            void vmProcess.serve("k1", largeCost, 5);
             await world.schedule.advance(100);
         }
         await world.schedule.advance(100);
@@ -185,11 +185,11 @@
     }
 });
 
-test("beyond the limit callers are told when their tokens are there, and all that is granted stays within it", async () => {
+test("requests beyond the limit get 429, and the granted cost stays within the limit", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"], 100_000)]);
     for (let step = 0; step < 1200; step += 1) {
-        void world.lives.get(vms[step % vms.length]!)!.serve("k1", largeCost, 5);
+        void world.processes.get(vms[step % vms.length]!)!.serve("k1", largeCost, 5);
         await world.schedule.advance(10);
     }
     world.checkQuotas(() => ({ perSecond: 100_000, burst: 100_000 }));
@@ -199,52 +199,52 @@
     assert.ok(used > 100_000 * 12, `${used}`);
 });
 
-test("after the limit is lowered no more than the new one is granted", async () => {
+test("after the limit is lowered, the granted cost stays within the new limit", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"], 400_000)]);
-    const play = async (steps: number): Promise<void> => {
+    const sendRequests = async (steps: number): Promise<void> => {
         for (let step = 0; step < steps; step += 1) {
-            void world.lives.get(vms[step % vms.length]!)!.serve("k1", largeCost, 5);
+            void world.processes.get(vms[step % vms.length]!)!.serve("k1", largeCost, 5);
             await world.schedule.advance(20);
         }
     };
-    await play(200);
+    await sendRequests(200);
     world.setAccounts([createAccount("one", ["k1"], 50_000)]);
-    await play(150);
+    await sendRequests(150);
     world.arrived.length = 0;
-    await play(500);
+    await sendRequests(500);
     world.checkQuotas(() => ({ perSecond: 50_000, burst: 50_000 }));
 });
 
-test("requests that have not run are given back", async () => {
+test("the cost of requests that did not run is returned to the quota", async () => {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([createAccount("one", ["k1"], 100_000)]);
-    const life = world.lives.get("a1")!;
+    const vmProcess = world.processes.get("a1")!;
     const account = createAccount("one", ["k1"], 100_000);
-    for (let turn = 0; turn < 100; turn += 1) {
-        const claim = life.guard.createClaim(account, {
+    for (let round = 0; round < 100; round += 1) {
+        const claim = vmProcess.guard.createClaim(account, {
             requestId: "r",
             budgetMs: undefined,
             model: undefined,
             tokens: largeCost,
             lastEventId: undefined,
         });
-        const refusal = life.guard.claimQuota(claim);
+        const refusal = vmProcess.guard.claimQuota(claim);
         await world.schedule.advance(10);
-        assert.is(await refusal, undefined, `turn ${turn}`);
-        life.guard.releaseQuota(claim);
+        assert.is(await refusal, undefined, `round ${round}`);
+        vmProcess.guard.releaseQuota(claim);
     }
 });
 
-test("an account at six times its usual costs no other account anything", async () => {
+test("an account at six times its usual load does not cause refusals of another account", async () => {
     const accounts = ["hot", "cold"].map(name => createAccount(name, [name], 100_000));
     const world = new AccountWorld(vms, readDataCentre);
     await world.start(accounts);
     for (let step = 0; step < 400; step += 1) {
-        const life = world.lives.get(vms[step % vms.length]!)!;
-        void life.serve("hot", largeCost, 5);
+        const vmProcess = world.processes.get(vms[step % vms.length]!)!;
+        void vmProcess.serve("hot", largeCost, 5);
         if (step % 8 === 0) {
-            void life.serve("cold", largeCost, 5);
+            void vmProcess.serve("cold", largeCost, 5);
         }
         await world.schedule.advance(20);
     }
@@ -252,8 +252,8 @@
     assert.ok(world.refused.some(({ key }) => key === "hot"));
 });
 
-/** What may happen, at a moment, to VMs named by their places in the list. */
-type Trouble =
+/** An event of a scenario; VMs are given by their indexes in `vms`. */
+type ScenarioEvent =
     | { readonly kind: "cut"; readonly vms: readonly number[]; readonly isFromStore: boolean; }
     | { readonly kind: "heal"; }
     | { readonly kind: "turnAway"; readonly vms: readonly number[]; }
@@ -263,7 +263,7 @@
 
 const vmIndex = fc.integer({ min: 0, max: vms.length - 1 });
 const vmIndexes = fc.uniqueArray(vmIndex, { minLength: 1, maxLength: vms.length });
-const troubles: fc.Arbitrary<Trouble> = fc.oneof(
+const scenarioEvents: fc.Arbitrary<ScenarioEvent> = fc.oneof(
     fc.record({ kind: fc.constant("cut" as const), vms: vmIndexes, isFromStore: fc.boolean() }),
     fc.constant({ kind: "heal" as const }),
     fc.record({ kind: fc.constant("turnAway" as const), vms: vmIndexes }),
@@ -272,32 +272,35 @@
     fc.record({ kind: fc.constant("keys" as const), keys: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }) }),
 );
 
-const histories = fc.array(fc.tuple(fc.integer({ min: 20, max: 3000 }), troubles), { minLength: 1, maxLength: 8 });
+const scenarios = fc.array(fc.tuple(fc.integer({ min: 20, max: 3000 }), scenarioEvents), {
+    minLength: 1,
+    maxLength: 8,
+});
 
 const allKeys = ["k0", "k1", "k2", "k3"];
 const limit = { perSecond: 60_000, burst: 60_000 };
 
-function applyTrouble(world: AccountWorld, trouble: Trouble): void {
+function applyEvent(world: AccountWorld, event: ScenarioEvent): void {
     const pick = (indexes: readonly number[]): string[] => indexes.map(index => vms[index]!);
-    switch (trouble.kind) {
+    switch (event.kind) {
         case "cut":
-            world.closePaths(pick(trouble.vms), trouble.isFromStore);
+            world.closePaths(pick(event.vms), event.isFromStore);
             return;
         case "heal":
             world.openPaths();
             return;
         case "turnAway":
-            pick(trouble.vms).forEach(vm => world.cutOff.add(vm));
+            pick(event.vms).forEach(vm => world.cutOff.add(vm));
             return;
         case "freeze":
-            world.lives.get(vms[trouble.vm]!)?.pause(trouble.ms);
+            world.processes.get(vms[event.vm]!)?.pause(event.ms);
             return;
         case "restart":
-            pick(trouble.vms).forEach(vm => world.startVm(vm));
+            pick(event.vms).forEach(vm => world.startVm(vm));
             return;
         case "keys": {
-            // Each key is held by one account or the other, or by none.
-            const keys = allKeys.filter((_key, index) => trouble.keys[index]);
+            // Each key belongs to one of the two accounts, or to none.
+            const keys = allKeys.filter((_key, index) => event.keys[index]);
             world.setAccounts([
                 createAccount("one", keys.slice(0, 2), limit.perSecond),
                 createAccount("two", keys.slice(2), limit.perSecond),
@@ -307,34 +310,36 @@
     }
 }
 
-async function runHistory(history: readonly (readonly [number, Trouble])[]): Promise<AccountWorld> {
+async function runScenario(scenario: readonly (readonly [number, ScenarioEvent])[]): Promise<AccountWorld> {
     const world = new AccountWorld(vms, readDataCentre);
     await world.start([
         createAccount("one", ["k0", "k1"], limit.perSecond),
         createAccount("two", ["k2", "k3"], limit.perSecond),
     ]);
-    let turn = 0;
-    const play = async (ms: number): Promise<void> => {
+    let requestCount = 0;
+    const sendRequests = async (ms: number): Promise<void> => {
         for (const until = world.schedule.now + ms; world.schedule.now < until;) {
-            const life = world.lives.get(vms[turn % vms.length]!);
-            const key = allKeys[turn % 11 % allKeys.length]!;
-            life?.schedule(() => void life.serve(key, turn % 3 === 0 ? largeCost : smallCost, turn % 9 * 90));
-            turn += 1;
+            const vmProcess = world.processes.get(vms[requestCount % vms.length]!);
+            const key = allKeys[requestCount % 11 % allKeys.length]!;
+            vmProcess?.schedule(() =>
+                void vmProcess.serve(key, requestCount % 3 === 0 ? largeCost : smallCost, requestCount % 9 * 90)
+            );
+            requestCount += 1;
             await world.schedule.advance(17);
         }
     };
-    for (const [waitMs, trouble] of history) {
-        await play(waitMs);
-        applyTrouble(world, trouble);
+    for (const [waitMs, event] of scenario) {
+        await sendRequests(waitMs);
+        applyEvent(world, event);
     }
-    await play(6000);
+    await sendRequests(6000);
     return world;
 }
 
-test("whatever happens to VMs and links, no withdrawn key runs, nobody is denied falsely and no quota is exceeded", async () => {
+test("under random failures no request runs with a revoked key, no valid key gets 401, and no quota is exceeded", async () => {
     await fc.assert(
-        fc.asyncProperty(histories, async history => {
-            const world = await runHistory(history);
+        fc.asyncProperty(scenarios, async scenario => {
+            const world = await runScenario(scenario);
             world.checkKeys();
             world.checkDenials();
             world.checkQuotas(() => limit);
--- a/packages/node/test/accountworld.ts
+++ b/packages/node/test/accountworld.ts
@@ -9,7 +9,7 @@
 import { createSilentLog } from "./fixtures.js";
 import { Schedule } from "./schedule.js";
 
-/** Time for which a read of the configuration waits, for which one is given up, and between two of them. */
+/** How long the store holds a read open, how long a VM waits beyond that, and the pause between reads, in milliseconds. */
 const readWaitMs = 1000;
 const answerTimeoutMs = 700;
 const readPauseMs = 60;
@@ -20,7 +20,7 @@
 const linkBackoffMs = 500;
 const housekeepingMs = 250;
 
-/** Bounds as an operator sets them. */
+/** Limits as an operator sets them. */
 export const bounds: AccountBounds = {
     isRevocationStrict: true,
     revocationMs: 5000,
@@ -41,7 +41,7 @@
     isResumable: false,
 };
 
-/** A version of the configuration, and when the store said that it has it. */
+/** A version of the configuration, and when the store acknowledged it. */
 interface AckedVersion {
     readonly routing: Routing;
     readonly position: number;
@@ -54,7 +54,7 @@
     readonly key: string;
     readonly account: string;
     readonly cost: number;
-    /** When its caller sent it. */
+    /** When the caller sent the request. */
     readonly sentAt: number;
     readonly arrivedAt: number;
 }
@@ -69,7 +69,7 @@
     readonly at: number;
 }
 
-/** One process of a VM, with what it knows of accounts. */
+/** One process of a VM, with its account guard and the configuration that it has read. */
 class AccountVm {
     isAlive = true;
     frozenUntil = 0;
@@ -112,7 +112,7 @@
         this.frozenMs += ms;
     }
 
-    /** Runs something in this process: now, or when it runs on. */
+    /** Runs a function in this process: now, or once the process resumes. */
     schedule(run: () => void): void {
         const waitMs = this.frozenUntil - this.world.schedule.now;
         if (waitMs > 0) {
@@ -135,7 +135,7 @@
         this.guard.receiveMessage(from, message as AccountMessage);
     }
 
-    /** Serves a request: it waits in a queue between the look at its account and its send. */
+    /** Serves a request, which waits in a queue between the check of its account and its send. */
     async serve(key: string, cost: number, queueMs: number): Promise<void> {
         const { world } = this;
         const sentAt = world.schedule.now;
@@ -182,7 +182,7 @@
         this.world.schedule.add(housekeepingMs, () => this.schedule(() => this.runHousekeeping()));
     }
 
-    /** Reads the configuration again and again, as long as this VM is a reader or knows none. */
+    /** Reads the configuration repeatedly while this VM is a reader or has no configuration. */
     private async follow(): Promise<void> {
         const { world } = this;
         let backoffMs = 100;
@@ -191,26 +191,26 @@
                 await this.wait(housekeepingMs);
                 continue;
             }
-            const askedAt = this.bootClock.read();
-            const own = this.cluster.findRouting()?.position ?? -1;
-            const answer = await this.read(own);
-            if (answer === undefined) {
+            const readStartedAt = this.bootClock.read();
+            const ownPosition = this.cluster.findRouting()?.position ?? -1;
+            const result = await this.read(ownPosition);
+            if (result === undefined) {
                 await this.wait(backoffMs);
                 backoffMs = Math.min(500, backoffMs * 2);
                 continue;
             }
             backoffMs = 100;
-            if (answer.changes.length > 0) {
-                this.cluster.applyChanges(answer.changes);
-                world.broadcast(this, { type: "changes", changes: [...answer.changes] });
+            if (result.changes.length > 0) {
+                this.cluster.applyChanges(result.changes);
+                world.broadcast(this, { type: "changes", changes: [...result.changes] });
             }
-            const hasWaited = answer.changes.length === 0 && this.bootClock.read() - askedAt >= readWaitMs;
-            this.guard.recordConfirmed(hasWaited ? askedAt + readWaitMs : askedAt);
+            const hasWaited = result.changes.length === 0 && this.bootClock.read() - readStartedAt >= readWaitMs;
+            this.guard.recordConfirmed(hasWaited ? readStartedAt + readWaitMs : readStartedAt);
             await this.wait(readPauseMs);
         }
     }
 
-    private async read(own: number): Promise<{ changes: readonly ClusterChange[]; } | undefined> {
+    private async read(ownPosition: number): Promise<{ changes: readonly ClusterChange[]; } | undefined> {
         const { world } = this;
         const startedAt = world.schedule.now;
         await this.wait(storeDelayMs);
@@ -220,7 +220,7 @@
                 return undefined;
             }
             const newest = world.versions.at(-1);
-            const isNew = newest !== undefined && newest.position > own;
+            const isNew = newest !== undefined && newest.position > ownPosition;
             if (isNew || world.schedule.now - startedAt >= readWaitMs) {
                 const changes: ClusterChange[] = isNew
                     ? [{ kind: "routing", routing: newest.routing, position: newest.position }]
@@ -249,36 +249,36 @@
                 };
             },
             scheduleEvery: () => {
-                throw new Error("no timer of accounts is repeated");
+                throw new Error("AccountGuard must not schedule repeated timers");
             },
         };
     }
 }
 
-/** A path between two VMs. */
+/** The network path between two VMs. */
 interface Path {
     cuts: number;
     isCut: boolean;
     isLinked: boolean;
-    held: (() => void)[];
+    delayedMessages: (() => void)[];
 }
 
 /** VMs in data centres, the store, and the paths between them, in simulated time. */
 export class AccountWorld {
     readonly schedule = new Schedule();
-    readonly lives = new Map<string, AccountVm>();
+    readonly processes = new Map<string, AccountVm>();
     readonly versions: AckedVersion[] = [];
     readonly arrived: ArrivedRequest[] = [];
     readonly refused: RefusedRequest[] = [];
     /** VMs whose calls do not reach the store. */
     readonly cutOff = new Set<string>();
-    /** Whether VMs hear of a configuration only if they ask. */
+    /** Whether broadcasts are lost, so that VMs only learn of a configuration if they query other VMs. */
     losesBroadcasts = false;
     private readonly paths = new Map<string, Path>();
 
     constructor(readonly vms: readonly string[], private readonly readDataCentre: (vm: string) => string) {}
 
-    /** Starts all VMs, and lets balances fill. */
+    /** Starts all VMs, and waits until the quota balances are full. */
     async start(accounts: readonly Account[]): Promise<void> {
         this.setAccounts(accounts);
         for (const vm of this.vms) {
@@ -289,25 +289,25 @@
 
     startVm(vm: string): void {
         this.kill(vm);
-        this.lives.set(vm, new AccountVm(this, vm));
+        this.processes.set(vm, new AccountVm(this, vm));
         for (const other of this.vms) {
             this.findPath(vm, other).isLinked = other !== vm && !this.findPath(vm, other).isCut;
         }
     }
 
     kill(vm: string): void {
-        const life = this.lives.get(vm);
-        if (life === undefined) {
+        const vmProcess = this.processes.get(vm);
+        if (vmProcess === undefined) {
             return;
         }
-        life.isAlive = false;
-        this.lives.delete(vm);
+        vmProcess.isAlive = false;
+        this.processes.delete(vm);
         for (const other of this.vms) {
             this.closeLink(vm, other);
         }
     }
 
-    /** The store takes a configuration with these accounts. */
+    /** Writes a configuration with these accounts to the store. */
     setAccounts(accounts: readonly Account[]): void {
         const position = this.versions.length;
         const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
@@ -315,7 +315,7 @@
         this.versions.push({ routing, position, ackedAt: this.schedule.now });
     }
 
-    /** The first VM of a data centre that is not cut off reads for the others. */
+    /** Whether a VM reads the store: the first VM of a data centre that reaches the store does, or all if none does. */
     isReader(vm: string): boolean {
         return this.findReader(vm) === vm || this.findReader(vm) === undefined;
     }
@@ -331,12 +331,13 @@
 
     private findReader(vm: string): string | undefined {
         return this.vms.find(other =>
-            this.lives.has(other) && !this.cutOff.has(other) && this.readDataCentre(other) === this.readDataCentre(vm)
+            this.processes.has(other) && !this.cutOff.has(other)
+            && this.readDataCentre(other) === this.readDataCentre(vm)
         );
     }
 
     listLinked(vm: string): string[] {
-        return this.vms.filter(other => other !== vm && this.findPath(vm, other).isLinked && this.lives.has(other));
+        return this.vms.filter(other => other !== vm && this.findPath(vm, other).isLinked && this.processes.has(other));
     }
 
     broadcast(from: AccountVm, message: PeerMessage): void {
@@ -350,14 +351,14 @@
 
     send(from: AccountVm, to: string, message: PeerMessage): boolean {
         const path = this.findPath(from.vm, to);
-        const target = this.lives.get(to);
+        const target = this.processes.get(to);
         if (!path.isLinked || target === undefined) {
             return false;
         }
         const deliver = (): void =>
             this.schedule.add(linkDelayMs, () => target.schedule(() => target.receive(from.vm, message)));
         if (path.isCut) {
-            path.held.push(deliver);
+            path.delayedMessages.push(deliver);
         }
         else {
             deliver();
@@ -365,7 +366,7 @@
         return true;
     }
 
-    /** Cuts VMs off from the others, and from the store if `isFromStore`. */
+    /** Disconnects VMs from all others, and from the store if `isFromStore`. */
     closePaths(vms: readonly string[], isFromStore: boolean): void {
         for (const vm of vms) {
             for (const other of this.vms.filter(each => !vms.includes(each))) {
@@ -382,70 +383,70 @@
         for (const [key, path] of this.paths) {
             if (path.isCut) {
                 path.isCut = false;
-                path.held.splice(0).forEach(deliver => deliver());
-                const [one, other] = key.split(" ") as [string, string];
+                path.delayedMessages.splice(0).forEach(deliver => deliver());
+                const [vm, other] = key.split(" ") as [string, string];
                 this.schedule.add(linkBackoffMs, () => {
-                    path.isLinked = !path.isCut && this.lives.has(one) && this.lives.has(other);
+                    path.isLinked = !path.isCut && this.processes.has(vm) && this.processes.has(other);
                 });
             }
         }
     }
 
-    private closePath(one: string, other: string): void {
-        const path = this.findPath(one, other);
+    private closePath(vm: string, other: string): void {
+        const path = this.findPath(vm, other);
         path.isCut = true;
         path.cuts += 1;
         const { cuts } = path;
         this.schedule.add(linkSilenceMs, () => {
             if (path.isCut && path.cuts === cuts) {
-                this.closeLink(one, other);
+                this.closeLink(vm, other);
             }
         });
     }
 
-    private closeLink(one: string, other: string): void {
-        const path = this.findPath(one, other);
+    private closeLink(vm: string, other: string): void {
+        const path = this.findPath(vm, other);
         if (!path.isLinked) {
             return;
         }
         path.isLinked = false;
-        path.held = [];
-        this.lives.get(one)?.schedule(() => this.lives.get(one)?.guard.removeVm(other));
-        this.lives.get(other)?.schedule(() => this.lives.get(other)?.guard.removeVm(one));
+        path.delayedMessages = [];
+        this.processes.get(vm)?.schedule(() => this.processes.get(vm)?.guard.removeVm(other));
+        this.processes.get(other)?.schedule(() => this.processes.get(other)?.guard.removeVm(vm));
     }
 
-    private findPath(one: string, other: string): Path {
-        const key = one < other ? `${one} ${other}` : `${other} ${one}`;
-        const path = this.paths.get(key) ?? { cuts: 0, isCut: false, isLinked: false, held: [] };
+    private findPath(vm: string, other: string): Path {
+        const key = vm < other ? `${vm} ${other}` : `${other} ${vm}`;
+        const path = this.paths.get(key) ?? { cuts: 0, isCut: false, isLinked: false, delayedMessages: [] };
         this.paths.set(key, path);
         return path;
     }
 
-    /** No request ran on a key that was withdrawn for longer than allowed, and each under the account that held its key. */
+    /** Checks that no request ran with a key revoked longer ago than allowed, and each under its key's account. */
     checkKeys(): void {
         for (const request of this.arrived) {
-            const story = JSON.stringify(request);
-            // A key may also be added while its request waits.
+            const requestText = JSON.stringify(request);
+            // A key may also be added while a request with it waits.
             const versions = this.listInForce(request.sentAt, request.arrivedAt, bounds.revocationMs);
-            const holders = versions.flatMap(({ routing }) => findHolder(routing, request.key));
-            assert.ok(holders.length > 0, `ran on a withdrawn key: ${story}`);
+            const holders = versions.flatMap(({ routing }) => listHolders(routing, request.key));
+            assert.ok(holders.length > 0, `request ran with a revoked key: ${requestText}`);
             assert.ok(
                 holders.includes(request.account),
-                `ran for ${request.account}, not ${holders.join(", ")}: ${story}`,
+                `request ran under account ${request.account}, not ${holders.join(", ")}: ${requestText}`,
             );
         }
     }
 
-    /** Nobody was told that a key is unknown which each configuration holds that may have been in force. */
+    /** Checks that no request got 401 for a key that every configuration contains that may have been in force. */
     checkDenials(): void {
         for (const { key, status, at } of this.refused.filter(refusal => refusal.status === 401)) {
             const versions = this.listInForce(at, at, bounds.configurationMs);
-            const isHeldByAll = versions.every(({ routing }) => findHolder(routing, key).length > 0);
-            assert.not(isHeldByAll, `${status} for a key that all configurations hold, at ${at}`);
+            const isHeldByAll = versions.every(({ routing }) => listHolders(routing, key).length > 0);
+            assert.not(isHeldByAll, `status ${status} at ${at} ms for a key that all configurations contain`);
         }
     }
 
-    /** No account used more within any window than its limit and what the operator allows beyond it. */
+    /** Checks that no account used more within any window than its limit plus the overage that the operator allows. */
     checkQuotas(findLimit: (account: string) => { perSecond: number; burst: number; }): void {
         const { windowMs, overage, slack } = bounds.quota;
         const byAccount = new Map<string, ArrivedRequest[]>();
@@ -454,16 +455,18 @@
         }
         for (const [account, requests] of byAccount) {
             const { perSecond, burst } = findLimit(account);
-            const most = (perSecond * windowMs / 1000 + burst) * (1 + overage) + slack;
+            const maxUsed = (perSecond * windowMs / 1000 + burst) * (1 + overage) + slack;
             for (const { sentAt } of requests) {
-                const within = requests.filter(each => each.sentAt >= sentAt && each.arrivedAt <= sentAt + windowMs);
-                const used = within.reduce((sum, { cost }) => sum + cost, 0);
-                assert.ok(used <= most, `${account} used ${used} of ${most} from ${sentAt} on`);
+                const requestsInWindow = requests.filter(each =>
+                    each.sentAt >= sentAt && each.arrivedAt <= sentAt + windowMs
+                );
+                const used = requestsInWindow.reduce((sum, { cost }) => sum + cost, 0);
+                assert.ok(used <= maxUsed, `account ${account} used ${used} of ${maxUsed} tokens from ${sentAt} ms on`);
             }
         }
     }
 
-    /** Versions that may have been in force between two moments: those replaced no longer than `ms` before the first. */
+    /** Versions that may have been in force between two times: those replaced at most `ms` before the first. */
     private listInForce(from: number, until: number, ms: number): AckedVersion[] {
         return this.versions.filter((version, index) => {
             const next = this.versions[index + 1];
@@ -472,6 +475,6 @@
     }
 }
 
-function findHolder(routing: Routing, key: string): string[] {
+function listHolders(routing: Routing, key: string): string[] {
     return (routing.accounts ?? []).filter(({ keys }) => keys.includes(key)).map(({ name }) => name);
 }
--- a/packages/node/test/crashreports.test.ts
+++ b/packages/node/test/crashreports.test.ts
@@ -7,22 +7,22 @@
 
 const lifeMs = 1000;
 
-/** Reports of one VM, with a store that takes what the test lets it take. */
+/** Creates the reports of one VM, with a store that fails as many writes as the test sets. */
 function createReports(vm = "a") {
     const sent: CrashReport[] = [];
     const offered: { name: string; isDropped: boolean; }[] = [];
     const clock = { now: 5000 };
-    const waiting: { offers: number; resolve: () => void; }[] = [];
-    let refusals = 0;
+    const waiters: { offers: number; resolve: () => void; }[] = [];
+    let remainingFailures = 0;
     const reports = new CrashReports({
         vm,
         incarnation: 1,
         store: {
             appendCrashReport: (name, report) => {
                 offered.push({ name, isDropped: report === undefined });
-                waiting.filter(({ offers }) => offers === offered.length).forEach(({ resolve }) => resolve());
-                refusals -= 1;
-                return Promise.resolve(refusals < 0);
+                waiters.filter(({ offers }) => offers === offered.length).forEach(({ resolve }) => resolve());
+                remainingFailures -= 1;
+                return Promise.resolve(remainingFailures < 0);
             },
         },
         log: createSilentLog(() => 0),
@@ -31,11 +31,11 @@
         onChange: () => {},
         quarantine: new Quarantine({ lifeMs }),
     });
-    const setRefusals = (count: number): void => {
-        refusals = count;
+    const setRemainingFailures = (count: number): void => {
+        remainingFailures = count;
     };
     const waitForOffers = (offers: number): Promise<void> =>
-        offered.length >= offers ? Promise.resolve() : new Promise(resolve => waiting.push({ offers, resolve }));
+        offered.length >= offers ? Promise.resolve() : new Promise(resolve => waiters.push({ offers, resolve }));
     const recordEnd = (upstream: string, ...paths: string[]): void =>
         reports.recordUpstreamEnd({
             upstream: createUpstream(upstream),
@@ -46,10 +46,10 @@
                 sentMs: 1,
             })),
         });
-    return { reports, sent, offered, clock, setRefusals, waitForOffers, recordEnd };
+    return { reports, sent, offered, clock, setRemainingFailures, waitForOffers, recordEnd };
 }
 
-test("while nothing is suspected no request is digested", () => {
+test("while no request is suspect, no request is digested", () => {
     const { reports } = createReports();
     const digest = {
         get head(): string {
@@ -63,7 +63,7 @@
     reports.recordCompletion(digest);
 });
 
-test("an upstream's end is one message and one record, however many requests ran there", async () => {
+test("an upstream's end causes one message and one record, however many requests ran there", async () => {
     const { sent, offered, recordEnd, waitForOffers } = createReports();
     recordEnd("e1", "/a", "/b", "/c", "/a");
     await waitForOffers(1);
@@ -71,15 +71,15 @@
     assert.equal(offered, [{ name: "a/1/1", isDropped: false }]);
 });
 
-test("a record is offered until the store takes it", async () => {
-    const { offered, recordEnd, setRefusals, waitForOffers } = createReports();
-    setRefusals(2);
+test("a record is written repeatedly until the store accepts it", async () => {
+    const { offered, recordEnd, setRemainingFailures, waitForOffers } = createReports();
+    setRemainingFailures(2);
     recordEnd("e1", "/a");
     await waitForOffers(3);
     assert.equal(offered.map(({ name }) => name), ["a/1/1", "a/1/1", "a/1/1"]);
 });
 
-test("what is answered whole is told in one message, and kept only where it spares a second end", async () => {
+test("clearances are sent in one message, and stored only if several upstreams ended under the request", async () => {
     const { reports, sent, offered, recordEnd, waitForOffers } = createReports();
     recordEnd("e1", "/a", "/b", "/c");
     recordEnd("e2", "/c");
@@ -100,7 +100,7 @@
     ]);
 });
 
-test("records that are old are dropped by the VM that wrote them, in an earlier life too", async () => {
+test("expired records are deleted by the VM that wrote them, including those of its earlier process", async () => {
     const { reports, offered, clock, recordEnd, waitForOffers } = createReports();
     const earlier: CrashReport = {
         name: "a/0/1",
@@ -113,14 +113,14 @@
     await waitForOffers(1);
     clock.now += lifeMs;
     reports.expireOld();
-    // It looks every ten seconds only.
+    // Expired records are only looked for every ten seconds.
     clock.now += 10_000;
     reports.expireOld();
     await waitForOffers(3);
     assert.equal(offered.filter(({ isDropped }) => isDropped).map(({ name }) => name).sort(), ["a/0/1", "a/1/1"]);
 });
 
-test("records that a VM has left which is gone for good are dropped by one that reads them", async () => {
+test("expired records of a removed VM are deleted by a VM that reads them", async () => {
     const { reports, offered, clock, waitForOffers } = createReports();
     clock.now = 50_000;
     reports.applyReport({
--- a/packages/node/test/crashwatch.test.ts
+++ b/packages/node/test/crashwatch.test.ts
@@ -6,11 +6,11 @@
 import { type BrokenRun, CrashMonitor, type ProbeResult, type UpstreamEnd } from "../src/crashes/watch.js";
 import { createDigest, createUpstream } from "./fixtures.js";
 
-/** A watch whose timers run when the test says so, and whose probes are answered as the test says. */
-function createWatch(answers: ProbeResult[]) {
+/** Creates a monitor whose timers and probe results are controlled by the test. */
+function createMonitor(results: ProbeResult[]) {
     const scheduled: { run: () => void; waitMs: number; }[] = [];
     const ends: UpstreamEnd[] = [];
-    const asked: string[] = [];
+    const probedAddresses: string[] = [];
     const timers: Timers = {
         scheduleOnce: (run, waitMs) => {
             scheduled.push({ run, waitMs });
@@ -19,12 +19,12 @@
         scheduleEvery: () => ({ cancel: () => {} }),
     };
     let now = 0;
-    const watch = new CrashMonitor({
+    const monitor = new CrashMonitor({
         readTime: () => now,
         onEnd: end => ends.push({ upstream: end.upstream, runs: [...end.runs] }),
         probe: async address => {
-            asked.push(address);
-            return answers.shift() ?? "silent";
+            probedAddresses.push(address);
+            return results.shift() ?? "silent";
         },
         timers,
     });
@@ -37,7 +37,7 @@
     const setTime = (at: number): void => {
         now = at;
     };
-    return { watch, ends, asked, runTimers, setTime };
+    return { monitor, ends, probedAddresses, runTimers, setTime };
 }
 
 function createRun(path: string, answeringMs?: number): BrokenRun {
@@ -46,76 +46,76 @@
 
 const upstream = createUpstream("e1", { address: "10.0.0.1:1" });
 
-test("an upstream that refuses connections after runs broke there has ended, with all of them, by one probe", async () => {
-    const { watch, ends, asked, runTimers } = createWatch(["refused"]);
-    void watch.recordBrokenRun(upstream, createRun("/a"));
-    const settled = watch.recordBrokenRun(upstream, createRun("/b"));
+test("an upstream that refuses a probe after two runs broke is reported as ended with both runs", async () => {
+    const { monitor, ends, probedAddresses, runTimers } = createMonitor(["refused"]);
+    void monitor.recordBrokenRun(upstream, createRun("/a"));
+    const settled = monitor.recordBrokenRun(upstream, createRun("/b"));
     await runTimers();
     await settled;
-    assert.equal(asked, ["10.0.0.1:1"]);
+    assert.equal(probedAddresses, ["10.0.0.1:1"]);
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/a", "/b"]]);
 });
 
-test("a run whose break is noticed after its upstream's end counts too", async () => {
-    const { watch, ends, runTimers } = createWatch(["refused"]);
-    void watch.recordBrokenRun(upstream, createRun("/a"));
+test("a run whose break is recorded after its upstream's end is reported too", async () => {
+    const { monitor, ends, runTimers } = createMonitor(["refused"]);
+    void monitor.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
-    void watch.recordBrokenRun(upstream, createRun("/b"));
+    void monitor.recordBrokenRun(upstream, createRun("/b"));
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/a"], ["/b"]]);
 });
 
-test("an upstream that still listens has only lost a connection, and may end at the next break", async () => {
-    const { watch, ends, runTimers } = createWatch(["open", "refused"]);
-    void watch.recordBrokenRun(upstream, createRun("/a"));
+test("an upstream that accepts the probe is not reported as ended, and is probed again at the next break", async () => {
+    const { monitor, ends, runTimers } = createMonitor(["open", "refused"]);
+    void monitor.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
     assert.equal(ends, []);
-    void watch.recordBrokenRun(upstream, createRun("/b"));
+    void monitor.recordBrokenRun(upstream, createRun("/b"));
     await runTimers();
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/b"]]);
 });
 
-test("an upstream that does not answer has ended once another process has its address", async () => {
-    const { watch, ends, runTimers } = createWatch(["silent", "silent", "silent"]);
-    const settled = watch.recordBrokenRun(upstream, createRun("/a"));
+test("an upstream that does not respond is reported as ended once another process uses its address", async () => {
+    const { monitor, ends, runTimers } = createMonitor(["silent", "silent", "silent"]);
+    const settled = monitor.recordBrokenRun(upstream, createRun("/a"));
     await runTimers();
-    // Nobody waits for what only time can tell.
+    // Callers do not wait for the later probes.
     await settled;
     await runTimers();
     await runTimers();
-    watch.receiveEntry(createUpstream("e2", { address: "10.0.0.2:1" }));
-    watch.receiveEntry(upstream);
+    monitor.receiveEntry(createUpstream("e2", { address: "10.0.0.2:1" }));
+    monitor.receiveEntry(upstream);
     assert.equal(ends, []);
-    watch.receiveEntry(createUpstream("e3", { address: "10.0.0.1:1" }));
+    monitor.receiveEntry(createUpstream("e3", { address: "10.0.0.1:1" }));
     assert.is(ends.length, 1);
 });
 
-test("an upstream of which nothing is heard for long is forgotten", async () => {
-    const { watch, ends, setTime } = createWatch([]);
-    void watch.recordBrokenRun(upstream, createRun("/a"));
+test("an upstream whose end is not detected in time is no longer watched", async () => {
+    const { monitor, ends, setTime } = createMonitor([]);
+    void monitor.recordBrokenRun(upstream, createRun("/a"));
     setTime(10_001);
-    watch.expireOld();
-    watch.receiveEntry(createUpstream("e3", { address: "10.0.0.1:1" }));
+    monitor.expireOld();
+    monitor.receiveEntry(createUpstream("e3", { address: "10.0.0.1:1" }));
     assert.equal(ends, []);
 });
 
-test("a run that had been answered for some time is not what ended its upstream", async () => {
-    const { watch, ends, runTimers } = createWatch(["refused"]);
-    void watch.recordBrokenRun(upstream, createRun("/long", 200));
-    void watch.recordBrokenRun(upstream, createRun("/short", 199));
+test("a run that received events for 200 ms does not count as the cause of its upstream's end", async () => {
+    const { monitor, ends, runTimers } = createMonitor(["refused"]);
+    void monitor.recordBrokenRun(upstream, createRun("/long", 200));
+    void monitor.recordBrokenRun(upstream, createRun("/short", 199));
     await runTimers();
     assert.equal(ends.map(end => end.runs.map(run => run.requestId)), [["/short"]]);
 });
 
-test("a port without a listener refuses, one with a listener does not", async () => {
+test("an upstream without a listener is reported as ended, an upstream with a listener is not", async () => {
     const server = createServer();
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     const ends: string[] = [];
-    const watch = new CrashMonitor({ readTime: () => 0, onEnd: end => ends.push(end.upstream.id) });
-    await watch.recordBrokenRun(createUpstream("listening", { address }), createRun("/a"));
+    const monitor = new CrashMonitor({ readTime: () => 0, onEnd: end => ends.push(end.upstream.id) });
+    await monitor.recordBrokenRun(createUpstream("listening", { address }), createRun("/a"));
     assert.equal(ends, []);
     await new Promise<void>(resolve => server.close(() => resolve()));
-    await watch.recordBrokenRun(createUpstream("gone", { address }), createRun("/a"));
+    await monitor.recordBrokenRun(createUpstream("gone", { address }), createRun("/a"));
     assert.equal(ends, ["gone"]);
 });
 
--- a/packages/node/test/permits.test.ts
+++ b/packages/node/test/permits.test.ts
@@ -2,9 +2,9 @@
 import * as assert from "uvu/assert";
 import { type PermitMessage, Permits } from "../src/crashes/permits.js";
 
-/** VMs that ask each other for leave to run a suspected request, over links that carry messages at once. */
+/** Creates VMs that claim permits for a suspect request from each other, over links that deliver messages at once. */
 function createVms(names: readonly string[], findReferee: () => string | undefined) {
-    const isCut = new Set<string>();
+    const unreachable = new Set<string>();
     const vms = new Map<string, Permits>();
     for (const name of names) {
         vms.set(
@@ -13,7 +13,7 @@
                 readTime: () => 0,
                 findIssuer: findReferee,
                 send: (to: string, message: PermitMessage) => {
-                    if (!isCut.has(to)) {
+                    if (!unreachable.has(to)) {
                         vms.get(to)!.receiveMessage(name, message);
                     }
                     return true;
@@ -21,10 +21,10 @@
             }),
         );
     }
-    return { vms, isCut };
+    return { vms, unreachable };
 }
 
-test("of two VMs one runs a suspected request, then the other", async () => {
+test("two VMs that claim a permit for the same suspect request get it one after the other", async () => {
     const { vms } = createVms(["a", "b", "c"], () => "c");
     const first = await vms.get("a")!.claim("r", () => true);
     assert.ok(first);
@@ -40,22 +40,22 @@
     assert.is(hasAsked, true);
 });
 
-test("one that may not wait any longer does not run", async () => {
+test("a claim that may not wait any longer gets no permit", async () => {
     const { vms } = createVms(["a", "b"], () => "a");
     await vms.get("a")!.claim("r", () => true);
     assert.is(await vms.get("b")!.claim("r", () => false), undefined);
 });
 
-test("without a referee, or with one that does not answer, requests go on", async () => {
-    const { vms, isCut } = createVms(["a", "b"], () => undefined);
+test("a request may run if there is no permit issuer, or the issuer does not reply", async () => {
+    const { vms, unreachable } = createVms(["a", "b"], () => undefined);
     assert.ok(await vms.get("a")!.claim("r", () => true));
     const silent = createVms(["a", "b"], () => "b");
-    silent.isCut.add("b");
+    silent.unreachable.add("b");
     assert.ok(await silent.vms.get("a")!.claim("r", () => true));
-    assert.is(isCut.size, 0);
+    assert.is(unreachable.size, 0);
 });
 
-test("what a VM ran that is gone does not hold up others", async () => {
+test("the permit of a removed VM does not block other VMs", async () => {
     const { vms } = createVms(["a", "b"], () => "b");
     await vms.get("a")!.claim("r", () => true);
     vms.get("b")!.removeVm("a");
--- a/packages/node/test/quotas.test.ts
+++ b/packages/node/test/quotas.test.ts
@@ -4,15 +4,15 @@
 
 const bounds: QuotaBounds = { windowMs: 8000, overage: 0.1, slack: 110_000 };
 
-/** Costs of requests in tokens, and how many of a hundred requests bear each. */
+/** Costs of requests in tokens, each with its share of the requests in percent. */
 const costs = [[9300, 39], [1100, 27], [200, 34]] as const;
 
-/** What one request got. */
-type Grant = (vm: number, cost: number, now: number) => boolean;
+/** Claims the cost of a request at a VM. Returns whether the cost was granted. */
+type ClaimQuota = (vm: number, cost: number, now: number) => boolean;
 
-/** A way to hold an account to its limit over many VMs. */
-interface QuotaWay {
-    readonly claim: Grant;
+/** A scheme that enforces an account's limit across many VMs. */
+interface QuotaScheme {
+    readonly claim: ClaimQuota;
     /** Called every 250 ms. */
     readonly update: (now: number) => void;
     /** Messages between VMs so far. */
@@ -24,8 +24,8 @@
     readonly burst: number;
 }
 
-/** Each VM leases its share to one coordinator, which is asked for each request. */
-function createCoordinated(vms: number, limit: Limit): QuotaWay {
+/** Each VM leases its share to one coordinator, which decides each claim. */
+function createCoordinatorScheme(vms: number, limit: Limit): QuotaScheme {
     const pool = new QuotaPool({ bounds, countVms: () => vms });
     let messages = 0;
     return {
@@ -44,8 +44,8 @@
     };
 }
 
-/** Each VM grants by itself from a share that follows its part of the demand, told to all every 250 ms. */
-function createShares(vms: number, limit: Limit): QuotaWay {
+/** Each VM grants from its own share, which follows its part of the demand; all VMs exchange demand every 250 ms. */
+function createLocalShareScheme(vms: number, limit: Limit): QuotaScheme {
     const equal = 1 / vms;
     const shares = Array.from({ length: vms }, () => equal);
     const demand = Array.from({ length: vms }, () => 0);
@@ -54,7 +54,7 @@
     return {
         claim: (vm, cost) => {
             demand[vm]! += cost;
-            // Each VM may overdraw as much as its part of the slack.
+            // Each VM may overdraw its balance by its part of the slack.
             if (balances[vm]! + bounds.slack * 0.5 * equal < cost) {
                 return false;
             }
@@ -74,7 +74,7 @@
     };
 }
 
-/** Numbers from 0 to 1, the same for each seed. */
+/** Creates a generator of numbers from 0 to 1, deterministic for each seed. */
 function createRandom(seed: number): () => number {
     let state = seed;
     return () => {
@@ -83,91 +83,94 @@
     };
 }
 
-interface Played {
-    /** Part of the requests within the limit that were refused. */
+interface RunResult {
+    /** Fraction of the requests within the limit that were refused. */
     readonly refused: number;
     readonly messagesPerSecond: number;
 }
 
-/** Plays 30 s of one account's requests, at a part of its limit, after its balances have filled. */
-function runAccount(way: QuotaWay, vms: number, limit: Limit, part: number): Played {
+/** Simulates 30 s of one account's requests at a fraction of its limit, after the balances have filled. */
+function runAccount(scheme: QuotaScheme, vms: number, limit: Limit, loadFraction: number): RunResult {
     const random = createRandom(vms + limit.perSecond);
     const mean = costs.reduce((sum, [cost, weight]) => sum + cost * weight / 100, 0);
-    const perMs = limit.perSecond * part / mean / 1000;
-    // What one VM that gets all requests would grant.
-    let owed = limit.burst;
-    let asked = 0;
+    const perMs = limit.perSecond * loadFraction / mean / 1000;
+    // The balance of a single VM that receives all requests: the reference for which requests are within the limit.
+    let referenceBalance = limit.burst;
+    let withinLimit = 0;
     let refused = 0;
     let startMessages = 0;
     for (let now = 0; now < 35_000; now += 1) {
         if (now % 250 === 0) {
-            way.update(now);
+            scheme.update(now);
         }
         if (now === 5000) {
-            startMessages = way.countMessages();
+            startMessages = scheme.countMessages();
         }
-        owed = Math.min(limit.burst, owed + limit.perSecond / 1000);
+        referenceBalance = Math.min(limit.burst, referenceBalance + limit.perSecond / 1000);
         if (now < 5000 || random() >= perMs) {
             continue;
         }
         let pick = random() * 100;
         const cost = costs.find(([, weight]) => (pick -= weight) < 0)?.[0] ?? costs[0][0];
-        const isOwed = owed >= cost;
-        const isGranted = way.claim(Math.floor(random() * vms), cost, now);
-        if (isOwed) {
-            owed -= cost;
-            asked += 1;
+        const isWithinLimit = referenceBalance >= cost;
+        const isGranted = scheme.claim(Math.floor(random() * vms), cost, now);
+        if (isWithinLimit) {
+            referenceBalance -= cost;
+            withinLimit += 1;
             refused += isGranted ? 0 : 1;
         }
     }
-    return { refused: refused / asked, messagesPerSecond: (way.countMessages() - startMessages) / 30 };
+    return { refused: refused / withinLimit, messagesPerSecond: (scheme.countMessages() - startMessages) / 30 };
 }
 
 const limits = [30_000, 180_000, 600_000].map(perSecond => ({ perSecond, burst: perSecond }));
 
-test("accounts within their limits are hardly ever refused, on any number of VMs", () => {
+test("with a coordinator, less than 0.5% of the requests within the limit are refused on any number of VMs", () => {
     for (const vms of [3, 70, 195, 370]) {
         for (const limit of limits) {
-            const { refused } = runAccount(createCoordinated(vms, limit), vms, limit, 0.55);
-            assert.ok(refused < 0.005, `${vms} VMs, ${limit.perSecond} a second: ${refused}`);
+            const { refused } = runAccount(createCoordinatorScheme(vms, limit), vms, limit, 0.55);
+            assert.ok(
+                refused < 0.005,
+                `${vms} VMs, ${limit.perSecond} tokens per second: fraction ${refused} was refused`,
+            );
         }
     }
 });
 
-test("shares of each VM's own would refuse large requests within the limit on many VMs", () => {
+test("with local shares, more than 10% of the requests within the limit are refused on many VMs", () => {
     for (const vms of [70, 195, 370]) {
         const [small] = limits;
-        const { refused } = runAccount(createShares(vms, small!), vms, small!, 0.55);
-        assert.ok(refused > 0.1, `${vms} VMs: ${refused}`);
+        const { refused } = runAccount(createLocalShareScheme(vms, small!), vms, small!, 0.55);
+        assert.ok(refused > 0.1, `${vms} VMs: only fraction ${refused} was refused`);
     }
 });
 
-test("an account may use all of its limit and no more, in any window", () => {
+test("an account can use its whole limit, and no more than the bound in any window", () => {
     const limit = limits[1]!;
-    const way = createCoordinated(70, limit);
+    const scheme = createCoordinatorScheme(70, limit);
     const granted: [number, number][] = [];
     for (let now = 0; now < 30_000; now += 1) {
         if (now % 250 === 0) {
-            way.update(now);
+            scheme.update(now);
         }
-        if (now >= 5000 && now % 10 === 0 && way.claim(now % 70, 9300, now)) {
+        if (now >= 5000 && now % 10 === 0 && scheme.claim(now % 70, 9300, now)) {
             granted.push([now, 9300]);
         }
     }
-    const most = (limit.perSecond * 8 + limit.burst) * 1.1 + bounds.slack;
+    const maxUsed = (limit.perSecond * 8 + limit.burst) * 1.1 + bounds.slack;
     for (const [start] of granted) {
         const used = granted.filter(([at]) => at >= start && at <= start + bounds.windowMs).reduce(
             (sum, [, cost]) => sum + cost,
             0,
         );
-        assert.ok(used <= most, `${used} of ${most}`);
+        assert.ok(used <= maxUsed, `used ${used} of ${maxUsed} tokens`);
     }
     const total = granted.reduce((sum, [, cost]) => sum + cost, 0);
-    assert.ok(total > limit.perSecond * 25 * 0.98, `${total}`);
+    assert.ok(total > limit.perSecond * 25 * 0.98, `only ${total} tokens were granted`);
 });
 
-/** A pool of `vms` VMs, all of which have leased their shares for 5 s. */
-function createFilled(vms: number): { pool: QuotaPool; renew: (count: number, now: number) => void; } {
+/** Creates a pool of `vms` VMs, all of which have leased their shares for 5 s. */
+function createFilledPool(vms: number): { pool: QuotaPool; renew: (count: number, now: number) => void; } {
     const pool = new QuotaPool({ bounds: { ...bounds, overage: 0, slack: 0 }, countVms: () => vms });
     const renew = (count: number, now: number): void => {
         for (let vm = 0; vm < count; vm += 1) {
@@ -182,8 +185,8 @@
 
 const limit = { perSecond: 1000, burst: 1000 };
 
-test("a coordinator grants as much as the shares that it holds", () => {
-    const { pool, renew } = createFilled(4);
+test("a coordinator grants in proportion to the shares that it holds", () => {
+    const { pool, renew } = createFilledPool(4);
     for (let now = 5250; now <= 9000; now += 250) {
         renew(1, now);
     }
@@ -195,8 +198,8 @@
     assert.is(pool.claim("a", limit, 62, 9250).kind, "granted");
 });
 
-test("a coordinator that stood still holds nothing until shares are leased to it again, and begins with what it had not lost", () => {
-    const { pool, renew } = createFilled(4);
+test("a coordinator that was suspended grants nothing until shares are leased again, and keeps its remaining balance", () => {
+    const { pool, renew } = createFilledPool(4);
     assert.is(pool.claim("a", limit, 1000, 5000).kind, "granted");
     assert.is(pool.claim("a", limit, 1, 20_000).kind, "unsure");
     renew(4, 20_000);
@@ -207,16 +210,16 @@
     assert.is(pool.claim("a", limit, 500, 20_500).kind, "granted");
 });
 
-test("an account that no request has come from begins at nothing where shares were away", () => {
-    const { pool, renew } = createFilled(4);
+test("the balance of an account without requests starts at zero if shares were released", () => {
+    const { pool, renew } = createFilledPool(4);
     pool.release("0", 5000);
     pool.release("1", 5000);
     renew(4, 5000);
     assert.is(pool.claim("b", limit, 100, 5000).kind, "unsure");
 });
 
-test("what is given back can be claimed again, and never more than a burst is held", () => {
-    const { pool, renew } = createFilled(4);
+test("returned cost can be claimed again, and the balance never exceeds the burst", () => {
+    const { pool, renew } = createFilledPool(4);
     assert.is(pool.claim("a", limit, 900, 5000).kind, "granted");
     pool.addBack("a", 900);
     pool.addBack("a", 900);
@@ -225,16 +228,16 @@
     assert.is(pool.claim("a", limit, 1, 5000).kind, "refused");
 });
 
-test("callers who are refused at once are told to come back one after the other", () => {
-    const { pool } = createFilled(4);
+test("requests that are refused at the same time get consecutive retry times", () => {
+    const { pool } = createFilledPool(4);
     assert.is(pool.claim("a", limit, 1000, 5000).kind, "granted");
     const waits = [1, 2, 3].map(() => {
         const verdict = pool.claim("a", limit, 500, 5000);
         return verdict.kind === "refused" ? verdict.waitMs : undefined;
     });
     assert.equal(waits, [500, 1000, 1500]);
-    const never = pool.claim("a", limit, 1001, 5000);
-    assert.equal(never.kind === "refused" ? never.waitMs : 0, undefined);
+    const impossible = pool.claim("a", limit, 1001, 5000);
+    assert.equal(impossible.kind === "refused" ? impossible.waitMs : 0, undefined);
 });
 
 test.run();
--- a/packages/node/test/withdrawal.test.ts
+++ b/packages/node/test/withdrawal.test.ts
@@ -10,7 +10,7 @@
 
 const routing = { ...plainRouting, accounts: [{ name: "one", keys: ["k"] }, { name: "two", keys: [] }] };
 
-test("nothing is written for a key that is withdrawn while the connection to an upstream is opened", async () => {
+test("a request whose key is revoked while the upstream connection opens gets 401 and is not sent", async () => {
     const { status, reached } = await serveWhileChanging({
         routing,
         createChange: () => createRouting(2, [{ name: "one", keys: [] }]),
@@ -19,7 +19,7 @@
     assert.equal(reached, []);
 });
 
-test("a key that moves to another account meanwhile is sent anew under that one", async () => {
+test("a request whose key moves to another account while the connection opens runs under the new account", async () => {
     const { status, accounts } = await serveWhileChanging({
         routing,
         createChange: () => createRouting(2, [{ name: "one", keys: [] }, { name: "two", keys: ["k"] }]),
