--- a/packages/node/test/accountworld.ts
+++ b/packages/node/test/accountworld.ts
@@ -9,7 +9,7 @@
 import { createSilentLog } from "./fixtures.js";
 import { Schedule } from "./schedule.js";
 
-/** How long the store holds a read open, how long a VM waits beyond that, and the pause between reads, in milliseconds. */
+/** How long the store holds a read open, how long a VM waits beyond that, and the pause between reads, in ms. */
 const readWaitMs = 1000;
 const answerTimeoutMs = 700;
 const readPauseMs = 60;
--- a/packages/node/test/crashwatch.test.ts
+++ b/packages/node/test/crashwatch.test.ts
@@ -46,7 +46,7 @@
 
 const upstream = createUpstream("e1", { address: "10.0.0.1:1" });
 
-test("an upstream that refuses a probe after two runs broke is reported as ended with both runs", async () => {
+test("an upstream that refuses one probe after two runs broke is reported as ended with both runs", async () => {
     const { monitor, ends, probedAddresses, runTimers } = createMonitor(["refused"]);
     void monitor.recordBrokenRun(upstream, createRun("/a"));
     const settled = monitor.recordBrokenRun(upstream, createRun("/b"));
