--- a/packages/node/src/accounts/guard.ts
+++ b/packages/node/src/accounts/guard.ts
@@ -137,7 +137,7 @@
         this.quotas.removeVm(vm);
     }
 
-    /** Resolves a request's account. For an unknown key, which may be newer than the configuration, it queries other VMs. */
+    /** Resolves a request's account. Queries other VMs for an unknown key, since it may be a new one. */
     async resolveAccount(route: Route, demand: CallerDemand): Promise<Result<Account | undefined, OwnAnswer>> {
         if (this.isKeyed(route) && demand.key?.kind === "key" && this.findAccount(demand.key) === undefined) {
             await this.confirmations.askPeers();
