--- a/packages/fleet/src/claims.ts
+++ b/packages/fleet/src/claims.ts
@@ -1,240 +1,256 @@
 /** Options of {@link ClaimClock}. */
 export interface ClaimClockOptions {
-    /** How long a renewed claim lets its holder give orders, in milliseconds, counted from sending the renewal. */
+    /** Duration of a lease, in milliseconds, counted from when its renewal was sent. */
     readonly useMs: number;
     /**
-     * How long a new holder waits beyond `useMs`, in milliseconds. It must have been confirmed for longer than this before
-     * it orders, so that a holder that is confirmed at shorter intervals knows that nobody ordered in between, although the
-     * shards were dealt several times.
+     * How long a new holder waits beyond the lease duration of the previous one, in milliseconds. A holder whose
+     * renewals are confirmed at shorter intervals knows that no other VM gave orders in between, even if the store
+     * reassigned the shards several times.
      */
     readonly settleMs: number;
-    /** Two holders of one engine must not give orders within this time of each other, in milliseconds. */
+    /** Shortest time between the orders of two alternating holders of one engine, in milliseconds. */
     readonly turnMs: number;
-    /** When this VM's process started: the one before it may have given orders until then. */
+    /** When this process started: the VM's previous process may have given orders until then. */
     readonly startedAt: number;
 }
 
-/** What lets a VM give orders to a shard: the claims before it have lapsed, or one of the other three. */
+/**
+ * Why a VM may give orders to a shard: it waited until all earlier leases had lapsed, the previous holder released the
+ * shard, the VM recorded the same generation before a restart, or the holder handed the shard over.
+ */
 export type ClaimReason = "waited" | "released" | "recorded" | "handover";
 
-/** A claim of one shard of the engines. */
-interface Claim {
-    /** What set `mayOrderAt`. */
+/** The lease of one shard of the engines. */
+interface Lease {
+    /** The reason for `mayOrderAt`. */
     readonly reason: ClaimReason;
-    /** The deal in which this VM first held it. */
+    /** The generation in which this VM first held the shard. */
     readonly generation: number;
     readonly mayOrderAt: number;
-    /** How often it has changed hands within the deal: part of its fencing token. */
-    readonly depth: number;
-    /** Its fencing token. */
+    /** Number of handovers of the shard within the generation, part of the fencing token. */
+    readonly handoverDepth: number;
+    /** Fencing token of the orders under this lease. */
     readonly fence: number;
-    /** Whether it was handed over by the VM to which it was dealt. */
+    /** Whether the shard was handed over by the VM to which the store assigned it. */
     readonly isHandover: boolean;
 }
 
-/** Most handovers within one deal: fencing tokens leave room for so many. */
-const maxDepth = 15;
+/** Largest number of handovers within one generation: fencing tokens reserve this range for each generation. */
+const maxHandoverDepth = 15;
 
 /**
- * Pause after the start of a process before a recorded deal lets it order, in milliseconds: a VM that took over hears of
- * the start, and with the 2.3 s that a planned stop takes no two holders alternate within a turn.
+ * Pause after the start of a process before it gives orders under a recorded generation, in milliseconds. In this time
+ * a VM that took over the shards learns of the start. Together with the 2.3 s of a planned stop the pause keeps
+ * alternating holders apart by the holder gap.
  */
-const recordedPauseMs = 800;
+const restartPauseMs = 800;
 
 /**
- * Longest time for which an order is on its way, in milliseconds, given up or not: what a lossy link loses is sent again after
- * some 200 ms, also where the connection was reset meanwhile. Orders came 203 ms after they were sent, and none later, in
- * days with losses of 3 in 100. One that is lost twice comes later still.
+ * Longest time for which an order is in transit, in milliseconds, whether or not its sender still waits for the
+ * response. A lossy link retransmits after about 200 ms, even if the connection was reset meanwhile: at a loss rate of
+ * 3 in 100 orders arrive up to 203 ms after they were sent. An order that is lost twice arrives later still.
  */
 export const orderFlightMs = 250;
 
 /**
- * Which shards this VM owns, and when it may give orders to their engines. Times are handed in by a clock that counts
- * the time in which the VM was suspended.
+ * Tracks which shards this VM holds, and when it may give orders to their engines. All times must come from a clock
+ * that includes the time in which the VM was suspended.
  *
- * The platform may deal shards anew at any moment without telling the holder before its next renewal. So a holder stops
- * `useMs` after it sent the last renewal that was confirmed, and a new holder begins only `useMs + settleMs` after
- * it learned of its claim.
+ * The store may reassign shards at any moment, and the holder learns of it only with its next renewal. So a holder
+ * stops one lease duration after it sent the last confirmed renewal, and a new holder starts only one lease duration
+ * plus the safety margin after it learned of its assignment.
  */
 export class ClaimClock {
-    private readonly claims = new Map<number, Claim>();
-    /** Newest deal whose holder has said that it gives no more orders, by shard. */
-    private readonly released = new Map<number, number>();
-    private readonly heldUntil = new Map<number, number>();
+    private readonly leases = new Map<number, Lease>();
+    /** Newest generation whose holder has announced that it gives no more orders, by shard. */
+    private readonly releasedGenerations = new Map<number, number>();
+    private readonly lastOrderAt = new Map<number, number>();
     private recordedGeneration: number | undefined;
-    private firstDeal: number | undefined;
+    private firstGeneration: number | undefined;
     private validUntil = 0;
     private generation = 0;
-    /** Newest deal that another VM has told of. */
-    private toldGeneration = 0;
+    /** Newest generation that another VM has reported. */
+    private reportedGeneration = 0;
 
-    /** When the last order of the process before this one came to its engine, at the latest. */
-    private pastOrderAt: number;
-    /** From when on orders may be given under the deal that this process met first. */
-    private firstDealAt = Infinity;
-    /** How long shards that were taken over may be used. */
-    private handoverUntil = 0;
+    /** Latest time at which an order of this VM's previous process can have arrived at its engine. */
+    private previousProcessOrderAt: number;
+    /** From when on orders may be given under the first generation that this process saw. */
+    private startConfirmedAt = Infinity;
+    /** Until when orders may be given to shards that were handed over. */
+    private handoversValidUntil = 0;
 
     constructor(private readonly options: ClaimClockOptions) {
-        this.pastOrderAt = options.startedAt + orderFlightMs;
+        this.previousProcessOrderAt = options.startedAt + orderFlightMs;
     }
 
-    /** The deal that this VM saw last: it rises with every change of any shard's holder. */
+    /** The generation that this VM saw last; it rises with every change of any shard's holder. */
     get deal(): number {
         return this.generation;
     }
 
-    /** The newest deal that this VM knows of, by itself or from others. */
+    /** The newest generation that this VM knows of, from the store or from other VMs. */
     get newestDeal(): number {
-        return Math.max(this.generation, this.toldGeneration);
+        return Math.max(this.generation, this.reportedGeneration);
     }
 
     /**
-     * Fencing token for the engines of a shard: higher than that of every holder before, and the same for as long as the shard
-     * is held. A token that rises while it is held makes the holder's own order, which a lossy link delivers 200 ms late, come
-     * below one that was sent after it.
+     * Fencing token for the engines of a shard: higher than that of every earlier holder, and constant for as long as
+     * the shard is held. If the token rose meanwhile, an engine would reject the holder's own earlier order that a
+     * lossy link delivers 200 ms late, after an order with the higher token.
      */
     readFence(shard: number): number {
-        return this.claims.get(shard)?.fence ?? 0;
+        return this.leases.get(shard)?.fence ?? 0;
     }
 
-    /** What lets this VM give orders to a shard, and the deal in which it first held it. */
+    /** Why this VM may give orders to a shard, and the generation in which it first held the shard. */
     explainClaim(shard: number): { readonly reason: ClaimReason; readonly generation: number; } | undefined {
-        const claim = this.claims.get(shard);
-        return claim === undefined ? undefined : { reason: claim.reason, generation: claim.generation };
+        const lease = this.leases.get(shard);
+        return lease === undefined ? undefined : { reason: lease.reason, generation: lease.generation };
     }
 
-    /** How often a shard has changed hands within the deal that this VM saw last. */
+    /** Number of handovers of a shard within the generation that this VM saw last. */
     readDepth(shard: number): number {
-        const claim = this.claims.get(shard);
-        return claim?.generation === this.generation ? claim.depth : 0;
+        const lease = this.leases.get(shard);
+        return lease?.generation === this.generation ? lease.handoverDepth : 0;
     }
 
     /**
-     * Takes the answer to a renewal.
+     * Applies the store's response to a renewal.
      * @param sentAt When the renewal was sent.
-     * @returns Whether it was taken: one that tells of a deal before the newest known one is old.
+     * @returns Whether the response was applied: a response with a generation before the newest known one is outdated.
      */
     applyRenewal(generation: number, shards: readonly number[], sentAt: number, now: number): boolean {
         if (generation < this.newestDeal) {
             return false;
         }
-        // A shard held in two deals in a row had no other holder. Over deals that this VM did not see it may have had one,
-        // which has ordered only if it was confirmed for longer than `settleMs`.
-        const provenAt = this.validUntil - this.options.useMs;
-        const mayHaveMoved = generation - this.generation > 1 && now - provenAt > this.options.settleMs;
-        if (this.generation === this.firstDeal && generation !== this.firstDeal && !this.isStartConfirmed(now)) {
-            // Nothing was ordered under them, and whoever went on in the first deal may still do so: all are new.
-            this.claims.clear();
+        // A shard held in two consecutive generations had no other holder. In generations that this VM did not see the
+        // shard may have had another holder, which gave orders only if its lease lasted longer than the safety margin.
+        const confirmedAt = this.validUntil - this.options.useMs;
+        const mayHaveMoved = generation - this.generation > 1 && now - confirmedAt > this.options.settleMs;
+        if (
+            this.generation === this.firstGeneration && generation !== this.firstGeneration
+            && !this.isStartConfirmed(now)
+        ) {
+            // No orders were given under these leases, and a VM that took over in the first generation may still give
+            // orders: all leases start again.
+            this.leases.clear();
         }
         this.generation = generation;
-        this.firstDeal ??= generation;
+        this.firstGeneration ??= generation;
         this.renewUntil(sentAt);
         const held = new Set(shards);
-        for (const [shard, claim] of this.claims) {
-            const isHandedOver = claim.isHandover && claim.generation === generation;
-            // What was taken over and is now dealt to this VM is its own, under the token that it has used.
-            const isDealt = claim.isHandover && !isHandedOver && held.has(shard);
-            if (mayHaveMoved || (!held.has(shard) && !isHandedOver) || (isDealt && now >= this.handoverUntil)) {
-                this.endClaim(shard, now);
+        for (const [shard, lease] of this.leases) {
+            const isHandedOver = lease.isHandover && lease.generation === generation;
+            // A shard that was handed over and is now assigned to this VM becomes its own, with the same fencing token.
+            const isAssigned = lease.isHandover && !isHandedOver && held.has(shard);
+            if (
+                mayHaveMoved || (!held.has(shard) && !isHandedOver) || (isAssigned && now >= this.handoversValidUntil)
+            ) {
+                this.endLease(shard, now);
             }
-            else if (isDealt) {
-                this.claims.set(shard, { ...claim, generation, depth: 0, isHandover: false });
+            else if (isAssigned) {
+                this.leases.set(shard, { ...lease, generation, handoverDepth: 0, isHandover: false });
             }
         }
         for (const shard of held) {
-            if (!this.claims.has(shard)) {
-                const isReleased = this.released.get(shard) === generation - 1;
-                const depth = this.readFirstDepth(generation);
-                this.claims.set(shard, {
+            if (!this.leases.has(shard)) {
+                const isReleased = this.releasedGenerations.get(shard) === generation - 1;
+                const handoverDepth = this.readInitialDepth(generation);
+                this.leases.set(shard, {
                     reason: isReleased ? "released" : "waited",
                     generation,
                     mayOrderAt: now + this.readWaitMs(shard, generation, now),
-                    depth,
-                    fence: createFence(generation, depth),
+                    handoverDepth,
+                    fence: createFence(generation, handoverDepth),
                     isHandover: false,
                 });
             }
         }
-        this.applyRecorded(now);
+        this.applyRecordedGeneration(now);
         return true;
     }
 
     /**
-     * Takes the generation under which this VM, before it started anew, last held its shards. If it is still the same
-     * one, nobody else can have held them since, and there is nothing to wait for.
+     * Sets the generation under which this VM last held its shards before it restarted. If the generation is still
+     * current, no other VM can have held them since, and there is no lease to wait for.
      */
     setRecordedGeneration(generation: number, now: number): void {
         this.recordedGeneration = generation;
-        this.applyRecorded(now);
+        this.applyRecordedGeneration(now);
     }
 
     /**
-     * Takes word from another VM that a renewal of its own, sent at `sentAt`, was answered with this generation: if it
-     * is the one of this VM's claims, they held then.
-     * @returns How much longer that lets it give orders, in milliseconds.
+     * Extends the leases by another VM's report that the store confirmed its renewal, sent at `sentAt`, with this
+     * generation: if the generation is the one of this VM's leases, they were valid then.
+     * @returns By how much the leases are extended, in milliseconds.
      */
     applyWitness(generation: number, sentAt: number): number {
-        return generation === this.generation && this.claims.size > 0 ? this.renewUntil(sentAt) : 0;
+        return generation === this.generation && this.leases.size > 0 ? this.renewUntil(sentAt) : 0;
     }
 
     /**
-     * Takes word that most VMs, asked at `askedAt`, do not reach the store either and hold none of this VM's shards.
-     * Whoever of them is dealt one later waits `useMs` before its first order. What stays open: a VM that none of them
-     * reaches, and that alone reaches the store. Once a later deal is heard of, the shards may be anyone's.
-     * @returns How much longer that lets it give orders, in milliseconds.
+     * Extends the leases when most VMs, asked at `askedAt`, report that they do not reach the store either and hold
+     * none of this VM's shards. A VM among them that is assigned one later waits a lease duration before its first
+     * order. This does not cover a VM that none of them reaches and that alone reaches the store. Once a later
+     * generation is known, any VM may hold the shards, and the leases are not extended.
+     * @returns By how much the leases are extended, in milliseconds.
      */
     applyAllClear(askedAt: number): number {
-        return this.toldGeneration > this.generation ? 0 : this.renewUntil(askedAt);
+        return this.reportedGeneration > this.generation ? 0 : this.renewUntil(askedAt);
     }
 
-    /** Takes word of another VM about the newest deal that it knows of. */
+    /** Records the newest generation that another VM knows of. */
     recordDeal(generation: number): void {
-        this.toldGeneration = Math.max(this.toldGeneration, generation);
+        this.reportedGeneration = Math.max(this.reportedGeneration, generation);
     }
 
     /**
-     * Takes shards over from a VM that stops while the store is away. They are held under the same deal, and only as long
-     * as it lasts.
+     * Takes shards over from a VM that stops while the store is unreachable. This VM holds them under the same
+     * generation, and only until the next one.
      */
-    applyHandover(shards: readonly number[], deal: number, depth: number, now: number): void {
-        if (deal !== this.generation || depth > maxDepth) {
+    applyHandover(shards: readonly number[], generation: number, handoverDepth: number, now: number): void {
+        if (generation !== this.generation || handoverDepth > maxHandoverDepth) {
             return;
         }
         for (const shard of shards) {
-            const mayOrderAt = Math.max(now, (this.heldUntil.get(shard) ?? this.pastOrderAt) + this.options.turnMs);
-            const fence = createFence(deal, depth);
-            this.claims.set(shard, {
+            const mayOrderAt = Math.max(
+                now,
+                (this.lastOrderAt.get(shard) ?? this.previousProcessOrderAt) + this.options.turnMs,
+            );
+            const fence = createFence(generation, handoverDepth);
+            this.leases.set(shard, {
                 reason: "handover",
-                generation: deal,
+                generation,
                 mayOrderAt,
-                depth,
+                handoverDepth,
                 fence,
                 isHandover: true,
             });
         }
     }
 
-    /** Gives back what was taken over, since the VM to which it was dealt runs again. */
+    /**
+     * Gives up the shards that were handed over, since the VM to which they are assigned runs again, and returns them.
+     */
     revokeHandovers(now: number): number[] {
-        return [...this.claims].filter(([, claim]) => claim.isHandover)
+        return [...this.leases].filter(([, lease]) => lease.isHandover)
             .map(([shard]) => shard)
-            .filter(shard => this.endClaim(shard, now));
+            .filter(shard => this.endLease(shard, now));
     }
 
-    /** Gives up shards that another VM has been dealt, and returns them. */
+    /** Gives up shards that the store has assigned to another VM, and returns them. */
     revokeShards(shards: readonly number[], generation: number, now: number): number[] {
         this.recordDeal(generation);
         if (generation <= this.generation) {
             return [];
         }
-        return shards.filter(shard => this.endClaim(shard, now));
+        return shards.filter(shard => this.endLease(shard, now));
     }
 
-    private endClaim(shard: number, now: number): boolean {
-        // An order that is on its way comes to the engine later than this, and a turn counts from there.
-        this.heldUntil.set(shard, now + orderFlightMs);
-        return this.claims.delete(shard);
+    private endLease(shard: number, now: number): boolean {
+        // An order in transit arrives at the engine later than now, and the holder gap counts from its arrival.
+        this.lastOrderAt.set(shard, now + orderFlightMs);
+        return this.leases.delete(shard);
     }
 
     private renewUntil(sentAt: number): number {
@@ -243,44 +259,48 @@
         return this.validUntil - before;
     }
 
-    private applyRecorded(now: number): void {
+    private applyRecordedGeneration(now: number): void {
         if (this.recordedGeneration !== this.generation) {
             return;
         }
-        const mayOrderAt = Math.max(now, this.options.startedAt + recordedPauseMs);
-        for (const [shard, claim] of this.claims) {
-            if (mayOrderAt < claim.mayOrderAt) {
-                this.claims.set(shard, { ...claim, mayOrderAt, reason: "recorded" });
+        const mayOrderAt = Math.max(now, this.options.startedAt + restartPauseMs);
+        for (const [shard, lease] of this.leases) {
+            if (mayOrderAt < lease.mayOrderAt) {
+                this.leases.set(shard, { ...lease, mayOrderAt, reason: "recorded" });
             }
         }
     }
 
     /**
-     * How long a new holder waits. The last one stops `useMs` after its last renewal, or has said that it has stopped: only
-     * the very next deal after a release is known to have had no holder in between. A shard that comes back to a VM
-     * which held it lately waits `turnMs` as well, so that no two holders alternate.
+     * How long a new holder waits. The previous holder stops one lease duration after its last renewal, unless it has
+     * released the shard: only in the generation right after the release is it certain that no other VM held the shard
+     * in between. A VM that held the shard recently also waits for the holder gap, so that two holders do not
+     * alternate.
      */
     private readWaitMs(shard: number, generation: number, now: number): number {
-        const lapseMs = this.released.get(shard) === generation - 1 ? 0 : this.options.useMs + this.options.settleMs;
-        const heldUntil = this.heldUntil.get(shard) ?? this.pastOrderAt;
-        const alternateMs = Math.max(0, heldUntil + this.options.turnMs - now);
-        return Math.max(lapseMs, alternateMs);
+        const lapseMs = this.releasedGenerations.get(shard) === generation - 1
+            ? 0
+            : this.options.useMs + this.options.settleMs;
+        const lastOrderAt = this.lastOrderAt.get(shard) ?? this.previousProcessOrderAt;
+        const gapMs = Math.max(0, lastOrderAt + this.options.turnMs - now);
+        return Math.max(lapseMs, gapMs);
     }
 
     /**
-     * Takes word of the holder in a deal that it gives no more orders to a shard. It holds for good, since it is sent only
-     * when the store has ended that deal: neither the holder nor a start of it gives orders in the deal after that.
-     * @returns Whether this VM waits less for it.
+     * Records that the holder in a generation gives no more orders to a shard. The release is final, since it is sent
+     * only after the store has ended that generation: neither the holder nor a restarted process of it gives orders in
+     * the next one.
+     * @returns Whether this VM now waits less for the shard.
      */
     recordRelease(shard: number, generation: number, now: number): boolean {
-        if (generation >= (this.released.get(shard) ?? -Infinity)) {
-            this.released.set(shard, generation);
+        if (generation >= (this.releasedGenerations.get(shard) ?? -Infinity)) {
+            this.releasedGenerations.set(shard, generation);
         }
-        const claim = this.claims.get(shard);
-        if (claim !== undefined && claim.generation === generation + 1) {
-            const mayOrderAt = now + this.readWaitMs(shard, claim.generation, now);
-            if (mayOrderAt < claim.mayOrderAt) {
-                this.claims.set(shard, { ...claim, mayOrderAt, reason: "released" });
+        const lease = this.leases.get(shard);
+        if (lease !== undefined && lease.generation === generation + 1) {
+            const mayOrderAt = now + this.readWaitMs(shard, lease.generation, now);
+            if (mayOrderAt < lease.mayOrderAt) {
+                this.leases.set(shard, { ...lease, mayOrderAt, reason: "released" });
                 return true;
             }
         }
@@ -288,98 +308,104 @@
     }
 
     /**
-     * The process before this one may have given orders in the deal that this one meets first, with any token of that deal:
-     * this one takes the highest.
+     * The VM's previous process may have given orders in the first generation that this process sees, with any token of
+     * that generation, so this process uses the highest.
      */
-    private readFirstDepth(generation: number): number {
-        return this.pastOrderAt !== -Infinity && generation === this.firstDeal ? maxDepth : 0;
+    private readInitialDepth(generation: number): number {
+        return this.previousProcessOrderAt !== -Infinity && generation === this.firstGeneration ? maxHandoverDepth : 0;
     }
 
-    /** No process of this VM ran before this one: no shard can come back to it. */
+    /** Declares that this VM had no earlier process, so that no shard can come back to it. */
     setFirstLife(): void {
-        this.pastOrderAt = -Infinity;
-        this.firstDealAt = -Infinity;
+        this.previousProcessOrderAt = -Infinity;
+        this.startConfirmedAt = -Infinity;
     }
 
     /**
-     * Takes word that most VMs have heard of this start, and whether one of them has lately borne out that another VM goes on
-     * in this VM's place. Before it nothing is ordered under the first deal: that other VM, which need not hear of the start
-     * itself, may do so until most others tell it that they have.
+     * Records that most VMs know of this start, and whether one of them has recently confirmed that another VM took
+     * over this VM's shards. Before this call, no orders are given under the first generation: the other VM, which may
+     * not learn of the start itself, may give orders until most VMs report to it that they know of the start.
      */
     recordStartHeard(now: number, wasTakenOver: boolean): void {
-        const atOnce = Math.min(this.firstDealAt, now);
-        const afterTurn = Math.max(now + this.options.useMs + orderFlightMs, this.pastOrderAt + this.options.turnMs);
-        this.firstDealAt = wasTakenOver ? Math.min(this.firstDealAt, afterTurn) : atOnce;
+        const atOnce = Math.min(this.startConfirmedAt, now);
+        const afterGap = Math.max(
+            now + this.options.useMs + orderFlightMs,
+            this.previousProcessOrderAt + this.options.turnMs,
+        );
+        this.startConfirmedAt = wasTakenOver ? Math.min(this.startConfirmedAt, afterGap) : atOnce;
     }
 
     private isStartConfirmed(now: number): boolean {
-        return now >= this.firstDealAt;
+        return now >= this.startConfirmedAt;
     }
 
-    /** Whether shards of the first deal are held that may not be used before most VMs have heard of this start. */
+    /** Whether this VM holds shards of the first generation that it may not use before most VMs know of this start. */
     isHeldBack(now: number): boolean {
-        return this.generation === this.firstDeal && this.claims.size > 0 && !this.isStartConfirmed(now);
+        return this.generation === this.firstGeneration && this.leases.size > 0 && !this.isStartConfirmed(now);
     }
 
-    /** Takes word that most VMs, asked at `askedAt`, have not heard of a start of those from which shards were taken over. */
+    /**
+     * Extends the use of handed-over shards: most VMs, asked at `askedAt`, know of no restart of the handover sources.
+     */
     renewHandovers(askedAt: number): void {
-        this.handoverUntil = Math.max(this.handoverUntil, askedAt + this.options.useMs);
+        this.handoversValidUntil = Math.max(this.handoversValidUntil, askedAt + this.options.useMs);
     }
 
     get hasHandovers(): boolean {
-        return [...this.claims.values()].some(claim => claim.isHandover);
+        return [...this.leases.values()].some(lease => lease.isHandover);
     }
 
     /** Whether this VM may give orders to all shards that it holds. */
     isSettled(now: number): boolean {
-        return this.claims.size > 0 && [...this.claims.keys()].every(shard => this.canOrder(shard, now));
+        return this.leases.size > 0 && [...this.leases.keys()].every(shard => this.canOrder(shard, now));
     }
 
-    /** Gives everything up, as after a suspension: nothing may be ordered before the next confirmed renewal. */
+    /** Stops all orders until the next confirmed renewal, for example after a suspension. */
     pause(): void {
         this.validUntil = 0;
     }
 
-    /** Gives all shards up, in a planned stop. */
+    /** Gives up all shards in a planned stop. */
     releaseAll(now: number): void {
         this.pause();
         for (const shard of this.listShards()) {
-            this.endClaim(shard, now);
+            this.endLease(shard, now);
         }
     }
 
-    /** Whether orders to the engines of a shard may be given at this moment. */
+    /** Whether this VM may give orders to the engines of a shard now. */
     canOrder(shard: number, now: number): boolean {
-        const claim = this.claims.get(shard);
-        return claim !== undefined && now < this.validUntil && now >= claim.mayOrderAt
-            && (claim.generation !== this.firstDeal || this.isStartConfirmed(now))
-            && (!claim.isHandover || now < this.handoverUntil);
+        const lease = this.leases.get(shard);
+        return lease !== undefined && now < this.validUntil && now >= lease.mayOrderAt
+            && (lease.generation !== this.firstGeneration || this.isStartConfirmed(now))
+            && (!lease.isHandover || now < this.handoversValidUntil);
     }
 
     /**
-     * Shards whose release may be told: those whose earlier holders have all stopped. One that this VM was still waiting
-     * for may be in use by the holder before it, and one that it has taken over by the VM to which it was dealt.
+     * Shards whose release this VM may announce: those whose earlier holders have all stopped. A shard that this VM
+     * still waits for may be in use by the previous holder, and a handed-over shard by the VM to which the store
+     * assigned it.
      */
     listReleasable(now: number): number[] {
-        return [...this.claims].filter(([, claim]) =>
-            now >= claim.mayOrderAt && !claim.isHandover
-            && (claim.generation !== this.firstDeal || this.isStartConfirmed(now))
+        return [...this.leases].filter(([, lease]) =>
+            now >= lease.mayOrderAt && !lease.isHandover
+            && (lease.generation !== this.firstGeneration || this.isStartConfirmed(now))
         ).map(([shard]) => shard);
     }
 
-    /** Shards that this VM may give orders to now, and so may hand over. */
+    /** Shards to which this VM may give orders now, and which it may therefore hand over. */
     listUsable(now: number): number[] {
         return this.listShards().filter(shard => this.canOrder(shard, now));
     }
 
     listShards(): number[] {
-        return [...this.claims.keys()];
+        return [...this.leases.keys()];
     }
 }
 
-/** Fencing token of a claim: it rises with the deal, and with each handover within it. */
+/** Fencing token of a lease: it rises with each generation, and with each handover within a generation. */
 function createFence(generation: number, depth: number): number {
-    return generation * (maxDepth + 1) + depth;
+    return generation * (maxHandoverDepth + 1) + depth;
 }
 
 /** The shard of an engine, or the group of an account. */
