--- a/packages/fleet/src/load.ts
+++ b/packages/fleet/src/load.ts
@@ -1,6 +1,6 @@
 import type { UpstreamLoad } from "./types.js";
 
-/** A request on an upstream, as its load counts it. */
+/** A request's contribution to the load of an upstream. */
 export interface LoadShare {
     readonly upstream: string;
     readonly backlogTokens: number;
@@ -8,37 +8,37 @@
     readonly hasLongAnswer: boolean;
 }
 
-/** Ends the parts of a request's load. */
+/** Removes a request's contributions from the load. */
 export interface LoadHandle {
-    /** The answer has begun: its prompt is read. */
+    /** The response has started, so the prompt is prefilled. */
     begin(): void;
     /** The request has left the upstream. */
     end(): void;
 }
 
-/** Load on upstreams, counted by the requests that make it. */
+/** Sums the load of the requests on each upstream. */
 export class LoadCounter {
     private readonly loads = new Map<string, UpstreamLoad>();
-    private readonly reading = new Map<string, Set<LoadShare>>();
+    private readonly prefilling = new Map<string, Set<LoadShare>>();
 
-    /** Counts a request until the returned functions are called. */
+    /** Adds a request's load, until the returned functions are called. */
     add(share: LoadShare): LoadHandle {
-        const reading = this.reading.get(share.upstream) ?? new Set();
-        this.reading.set(share.upstream, reading.add(share));
+        const prefilling = this.prefilling.get(share.upstream) ?? new Set();
+        this.prefilling.set(share.upstream, prefilling.add(share));
         this.update(share, 1, share.backlogTokens, share.kvTokens);
-        let hasBegun = false;
-        let hasEnded = false;
+        let isPrefilled = false;
+        let isFinished = false;
         const begin = (): void => {
-            if (!hasBegun) {
-                hasBegun = true;
-                reading.delete(share);
+            if (!isPrefilled) {
+                isPrefilled = true;
+                prefilling.delete(share);
                 this.update(share, 0, -share.backlogTokens, 0);
             }
         };
         const end = (): void => {
-            if (!hasEnded) {
+            if (!isFinished) {
                 begin();
-                hasEnded = true;
+                isFinished = true;
                 this.update(share, -1, 0, -share.kvTokens);
             }
         };
@@ -56,10 +56,13 @@
         load.backlogTokens += backlogTokens;
         load.kvTokens += kvTokens;
         load.longAnswers += share.hasLongAnswer ? active : 0;
-        load.largestPrompt = Math.max(0, ...[...this.reading.get(share.upstream)!].map(other => other.backlogTokens));
+        load.largestPrompt = Math.max(
+            0,
+            ...[...this.prefilling.get(share.upstream)!].map(other => other.backlogTokens),
+        );
         if (load.active === 0) {
             this.loads.delete(share.upstream);
-            this.reading.delete(share.upstream);
+            this.prefilling.delete(share.upstream);
         }
         else {
             this.loads.set(share.upstream, load);
@@ -67,7 +70,7 @@
     }
 }
 
-/** Load of an upstream without any request. */
+/** Load of an upstream without requests. */
 export const noLoad: Readonly<UpstreamLoad> = {
     active: 0,
     backlogTokens: 0,
--- a/packages/fleet/src/pauses.ts
+++ b/packages/fleet/src/pauses.ts
@@ -1,54 +1,54 @@
 /**
- * Prompts from this size on are taken to hold up the streams beside them until something is learned, in tokens. With
- * events of 5 tokens a prompt of 14,000 made a third of the streams beside it pause for more than 400 ms, one of 20,000
- * nearly all, and one under 12,000 none (840 streams of a day under heavy load).
+ * Initial threshold, in tokens. With events of 5 tokens a prompt of 14,000 tokens makes a third of the concurrent
+ * streams pause for more than 400 ms, a prompt of 20,000 nearly all, and a prompt under 12,000 none.
  */
-const startTokens = 14_000;
+const initialThresholdTokens = 14_000;
 
-/** Bounds of what is learned, in tokens: engines differ in how much they read between two tokens of an answer. */
-const minTokens = 10_000;
-const maxTokens = 100_000;
+/** Bounds of the threshold, in tokens: engines differ in how much prompt they prefill between two output tokens. */
+const minThresholdTokens = 10_000;
+const maxThresholdTokens = 100_000;
 
 /**
- * How far one stream moves what is known. Up is quicker than down: a stream also pauses for other reasons, such as a
- * path that loses packets.
+ * Factors by which one stream moves the threshold. It rises faster than it falls, since a stream also pauses for other
+ * reasons, such as packet loss.
  */
 const raiseFactor = 1.12;
 const lowerFactor = 0.95;
 
-/** Streams beside smaller prompts than this part of the threshold say nothing about it. */
+/** Streams that pause beside a prompt smaller than this share of the threshold do not lower it. */
 const relevantShare = 0.6;
 
-/** How long a prompt that was read is remembered, in milliseconds: as long as most streams last. */
+/** How long a prefilled prompt is remembered, in milliseconds: as long as most streams last. */
 const historyMs = 10_000;
 
 /**
- * Learns from which size on a prompt makes the streams beside it pause for longer than they may: an engine reads prompts
- * in pieces between the tokens of its other requests, each piece slower the further on in a prompt it is.
+ * Learns the prompt size from which on a prompt makes concurrent streams pause for longer than allowed. An engine
+ * prefills prompts in chunks between the output tokens of its other requests, and each chunk takes longer the later it
+ * is in the prompt.
  */
 export class PauseThreshold {
-    private known = startTokens;
+    private threshold = initialThresholdTokens;
 
     get tokens(): number {
-        return this.known;
+        return this.threshold;
     }
 
     /**
-     * Takes a stream that has ended.
-     * @param largestPrompt Largest prompt that its engine read meanwhile, in tokens.
-     * @param wasHeldUp Whether it paused for longer than it may.
+     * Records a finished stream.
+     * @param largestPrompt Largest prompt that the engine prefilled during the stream, in tokens.
+     * @param wasHeldUp Whether the stream paused for longer than allowed.
      */
     record(largestPrompt: number, wasHeldUp: boolean): void {
-        if (wasHeldUp && largestPrompt < this.known && largestPrompt > this.known * relevantShare) {
-            this.known = Math.max(minTokens, this.known * lowerFactor);
+        if (wasHeldUp && largestPrompt < this.threshold && largestPrompt > this.threshold * relevantShare) {
+            this.threshold = Math.max(minThresholdTokens, this.threshold * lowerFactor);
         }
-        if (!wasHeldUp && largestPrompt >= this.known) {
-            this.known = Math.min(maxTokens, this.known * raiseFactor);
+        if (!wasHeldUp && largestPrompt >= this.threshold) {
+            this.threshold = Math.min(maxThresholdTokens, this.threshold * raiseFactor);
         }
     }
 }
 
-/** Sizes of the prompts that one engine has read lately. */
+/** Sizes of the prompts that one engine has prefilled recently. */
 export class PromptHistory {
     private entries: { at: number; tokens: number; }[] = [];
 
@@ -61,7 +61,7 @@
         this.entries.push({ at: now, tokens });
     }
 
-    /** Largest prompt that was being read at any time since then, in tokens. */
+    /** Largest prompt that was being prefilled at any time since `since`, in tokens. */
     findLargest(since: number): number {
         return Math.max(0, ...this.entries.filter(({ at }) => at >= since).map(({ tokens }) => tokens));
     }
