--- a/packages/fleet/src/admission.ts
+++ b/packages/fleet/src/admission.ts
@@ -1,55 +1,62 @@
-import { usualModelLoadMs } from "./basemodels.js";
+import { defaultModelLoadMs } from "./basemodels.js";
 import { prefillTokensPerMs, readQueueMs } from "./choose.js";
 import { LoadCounter, type LoadHandle } from "./load.js";
 import { type EnginePlaces } from "./places.js";
 import type { AdmissionAnswer, AdmissionRequest, UpstreamLoad } from "./types.js";
 
 /**
- * Part of the expected wait that a request must outlast to be let wait at all. Expected ends of runs are off by half either
- * way, so that a wait often turns out shorter.
+ * Share of the expected wait that a caller's time limit must cover for the request to be queued. Expected ends of runs
+ * are off by half either way, so that a wait often turns out shorter.
  */
-const hopefulShare = 0.6;
+const requiredWaitShare = 0.6;
 
-/** Bounds of how much longer runs take than callers estimate, as a factor. */
-const minRunPace = 0.2;
-const maxRunPace = 5;
+/** Bounds of the ratio between the actual and the estimated duration of a run. */
+const minRunTimeFactor = 0.2;
+const maxRunTimeFactor = 5;
 
-/** Weight of one run against what is known of how long runs take. */
-const runPaceWeight = 0.05;
+/** Weight of one run in the moving average of that ratio. */
+const runTimeFactorWeight = 0.05;
 
-/** A run that has outlasted its estimate is expected to end after this further part of it. */
-const overdueShare = 0.25;
+/** A run that has exceeded its estimate is expected to end after this further share of the estimate. */
+const overdueRunShare = 0.25;
 
-/** Shortest time that a run is expected to go on, in milliseconds. */
-const minRestMs = 20;
+/** Lower bound of the expected remaining time of a run, in milliseconds. */
+const minRemainingRunMs = 20;
 
-/** How long a request whose VM is gone is taken to run beyond its own end, in milliseconds: clocks and queues differ. */
-const endMarginMs = 500;
+/**
+ * How long after its latest possible end a request whose VM is gone still counts as running, in milliseconds: clocks
+ * and queues differ.
+ */
+const runEndMarginMs = 500;
 
-/** Time in which an answer has reached its VM, in milliseconds: one that takes longer finds its link closed. */
-const answerTravelMs = 500;
+/** Longest time that a reply takes to its VM, in milliseconds: the link closes before a slower reply arrives. */
+const maxReplyTransitMs = 500;
 
-/** How often the expected wait of a request that waits is worked out anew, in milliseconds: a tenth of most callers' time. */
-const reviewMs = 150;
+/**
+ * Interval at which the expected wait of a queued request is recomputed, in milliseconds: a tenth of most callers' time
+ * limit.
+ */
+const reviewIntervalMs = 150;
 
 /**
- * How much longer than its VM expects a request may be held up by others on the engine before it is told to choose anew, in
- * milliseconds: a third of what one draft of 9,000 tokens takes, and more than what the question costs.
+ * How much longer than its VM expects a request may queue behind others on the engine before the VM must choose again,
+ * in milliseconds: a third of the prefill time of a prompt of 9,000 tokens, and more than another admission round trip
+ * costs.
  */
-const busierMs = 80;
+const queueToleranceMs = 80;
 
-/** A request that waits at the engine or runs on it. */
+/** A request that waits for the engine or runs on it. */
 interface Ticket {
     readonly vm: string;
     readonly request: AdmissionRequest;
-    readonly askedAt: number;
+    readonly receivedAt: number;
     reviewedAt: number;
-    /** Undefined while it waits. */
+    /** Undefined while the request waits. */
     admittedAt: number | undefined;
     load: LoadHandle | undefined;
 }
 
-/** An answer for one VM. */
+/** A reply and the VM that receives it. */
 export interface AddressedAnswer {
     readonly vm: string;
     readonly answer: AdmissionAnswer;
@@ -59,47 +66,50 @@
 export interface EngineAdmissionOptions {
     readonly engine: string;
     readonly places: EnginePlaces;
-    /** Whether a held version may answer a request that asks for an adapter now. */
+    /**
+     * Whether a loaded version of an adapter may serve a request; `oldest` is the oldest version that the request
+     * accepts.
+     */
     readonly mayUse: (key: string, held: number, oldest: number | undefined) => boolean;
 }
 
 /**
- * The one queue of an engine: each request asks its owner to be let in, so that what is in use, what waits and what can
- * still be met are known in one place. A request whose adapter is loaded is let in at once; any other waits for the load,
- * in the order of the plan for the places, or is declined as soon as it is known that it cannot be met while its caller
- * waits.
+ * Admits requests to one engine. Every VM requests admission from the engine's owner, so that the owner alone knows
+ * which adapters are in use, which requests wait and which deadlines can still be met. A request whose adapter is
+ * loaded is admitted at once. Any other request waits for the load, in the order of the slot planner, or is declined as
+ * soon as the expected wait exceeds its caller's time limit.
  */
 export class EngineAdmission {
     private readonly tickets = new Map<string, Ticket>();
     private readonly uses = new Map<string, number>();
     private readonly counter = new LoadCounter();
-    private runPace = 1;
+    private runTimeFactor = 1;
 
     constructor(private readonly options: EngineAdmissionOptions) {}
 
-    /** Requests that were let in and have not ended, as load. */
+    /** Load of the admitted requests that have not finished. */
     get load(): Readonly<UpstreamLoad> {
         return this.counter.read(this.options.engine);
     }
 
-    /** Requests that wait. */
+    /** Number of queued requests. */
     get waitingCount(): number {
         return [...this.tickets.values()].filter(isWaiting).length;
     }
 
-    /** Requests under way with an adapter. */
+    /** Number of running requests that use an adapter. */
     countUses(key: string): number {
         return this.uses.get(key) ?? 0;
     }
 
-    /** Takes a request. */
+    /** Admits, queues or declines a request. */
     ask(vm: string, request: AdmissionRequest, now: number): AdmissionAnswer {
         const { ticket, key, version, runMs, onTimeMs, patienceMs } = request;
         const held = this.findUsableVersion(request);
-        const { places } = this.options;
-        if (key === undefined && !places.hasModel(request.model)) {
-            // Before the engine has reported nothing is known of its model.
-            const expectedMs = places.readModelWaitMs(request.model, now) || usualModelLoadMs;
+        const { places: planner } = this.options;
+        if (key === undefined && !planner.hasModel(request.model)) {
+            // The wait is 0 before the engine's first report, when its models are unknown.
+            const expectedMs = planner.readModelWaitMs(request.model, now) || defaultModelLoadMs;
             return { kind: "declined", ticket, expectedMs };
         }
         if (key === undefined || held !== undefined) {
@@ -109,29 +119,30 @@
             this.start(vm, request, now);
             return { kind: "admitted", ticket, version: held };
         }
-        const expectedMs = places.readWaitMs(key, now, this.listReleases(now));
-        if (expectedMs * hopefulShare > patienceMs) {
+        const expectedMs = planner.readWaitMs(key, now, this.listReleases(now));
+        if (expectedMs * requiredWaitShare > patienceMs) {
             return { kind: "declined", ticket, expectedMs };
         }
-        // Those that wait for the same adapter are let in together, and their prompts are read one after the other.
+        // Requests that wait for the same adapter are admitted together, and their prompts are prefilled one after the
+        // other.
         const waitingTokens = this.countWaitingTokens(key);
         if (this.isBusier(request, waitingTokens)) {
             const load = { ...this.load, backlogTokens: this.load.backlogTokens + waitingTokens };
-            return { kind: "busier", ticket, load, isComing: places.listComing().includes(key) };
+            return { kind: "busier", ticket, load, isComing: planner.listComing().includes(key) };
         }
         this.tickets.set(formatId(vm, ticket), {
             vm,
             request,
-            askedAt: now,
+            receivedAt: now,
             reviewedAt: now,
             admittedAt: undefined,
             load: undefined,
         });
-        places.addWant({ key, version, runMs, onTimeMs, lifeMs: patienceMs }, now);
+        planner.addWant({ key, version, runMs, onTimeMs, lifeMs: patienceMs }, now);
         return { kind: "queued", ticket, expectedMs };
     }
 
-    /** Lets in what can be let in, and declines what cannot be met any more. */
+    /** Admits queued requests whose adapter is loaded, and declines those that cannot be served in time any more. */
     advance(now: number): AddressedAnswer[] {
         const answers: AddressedAnswer[] = [];
         for (const [id, ticket] of this.tickets) {
@@ -147,12 +158,12 @@
         return answers;
     }
 
-    /** Takes word that a request's prompt is read. */
+    /** Records that the prompt of a request is prefilled. */
     begin(vm: string, ticket: number): void {
         this.tickets.get(formatId(vm, ticket))?.load?.begin();
     }
 
-    /** Takes word that a request has ended, or waits no longer. */
+    /** Records that a request has finished, or that its caller no longer waits. */
     end(vm: string, ticket: number, now: number): void {
         const found = this.tickets.get(formatId(vm, ticket));
         if (found !== undefined) {
@@ -162,16 +173,19 @@
     }
 
     /**
-     * Takes all requests of a VM that run, in place of what was known of them. What waits goes on waiting, and what has
-     * been let in just now may not be known there yet.
-     * @returns Whether anything has changed by it.
+     * Replaces the running requests of a VM by those that it reports. Queued requests stay queued, and requests
+     * admitted within the transit time of a reply stay, since the VM may not have received the admission yet.
+     * @returns Whether the set of running requests has changed.
      */
     setRuns(vm: string, requests: readonly AdmissionRequest[], now: number): boolean {
         let hasChanged = false;
-        const told = new Set(requests.map(({ ticket }) => ticket));
+        const reportedTickets = new Set(requests.map(({ ticket }) => ticket));
         for (const ticket of [...this.tickets.values()]) {
-            const isOther = ticket.vm !== vm || isWaiting(ticket);
-            if (!isOther && !told.has(ticket.request.ticket) && now - ticket.admittedAt! > answerTravelMs) {
+            const isUnaffected = ticket.vm !== vm || isWaiting(ticket);
+            if (
+                !isUnaffected && !reportedTickets.has(ticket.request.ticket)
+                && now - ticket.admittedAt! > maxReplyTransitMs
+            ) {
                 this.remove(ticket);
                 hasChanged = true;
             }
@@ -185,7 +199,7 @@
         return hasChanged;
     }
 
-    /** Declines all that wait: the engine cannot be reached, or is owned no longer. */
+    /** Declines all queued requests, when the engine cannot be reached or is no longer owned. */
     refuseAll(expectedMs: number): AddressedAnswer[] {
         const waiting = [...this.tickets.values()].filter(isWaiting);
         return waiting.map(ticket => {
@@ -194,41 +208,41 @@
         });
     }
 
-    /** How long one more adapter would wait until its load begins, in milliseconds. */
+    /** Expected time until the load of one more adapter would start, in milliseconds. */
     readNextTurnMs(now: number): number {
         return this.options.places.readNextTurnMs(now, this.listReleases(now));
     }
 
     private checkWaiting(ticket: Ticket, now: number): AdmissionAnswer | undefined {
-        const { request, vm, askedAt } = ticket;
+        const { request, vm, receivedAt } = ticket;
         const held = this.findUsableVersion(request);
         if (held !== undefined) {
             this.remove(ticket);
             this.start(vm, request, now);
             return { kind: "admitted", ticket: request.ticket, version: held };
         }
-        const restMs = askedAt + request.patienceMs - now;
-        // No load is quicker than one from host memory.
-        const isOver = restMs <= this.options.places.readLoadMs(true);
-        if (!isOver && now - ticket.reviewedAt < reviewMs) {
+        const remainingMs = receivedAt + request.patienceMs - now;
+        // A load from host memory is the fastest load.
+        const isTooLate = remainingMs <= this.options.places.readLoadMs(true);
+        if (!isTooLate && now - ticket.reviewedAt < reviewIntervalMs) {
             return undefined;
         }
         ticket.reviewedAt = now;
         const expectedMs = this.options.places.readWaitMs(request.key!, now, this.listReleases(now));
-        if (!isOver && expectedMs * hopefulShare <= restMs) {
+        if (!isTooLate && expectedMs * requiredWaitShare <= remainingMs) {
             return undefined;
         }
         this.remove(ticket);
         return { kind: "declined", ticket: request.ticket, expectedMs };
     }
 
-    /** Whether the engine has clearly more to do than the sender of a request expects. */
+    /** Whether the engine's queue is clearly longer than the sender of a request expects. */
     private isBusier({ expectedQueueMs }: AdmissionRequest, waitingTokens: number): boolean {
         const queueMs = readQueueMs(this.load) + waitingTokens / prefillTokensPerMs;
-        return expectedQueueMs !== undefined && queueMs > expectedQueueMs + busierMs;
+        return expectedQueueMs !== undefined && queueMs > expectedQueueMs + queueToleranceMs;
     }
 
-    /** Prompt tokens of the requests that wait for an adapter. */
+    /** Number of prompt tokens of the requests that wait for an adapter. */
     private countWaitingTokens(key: string): number {
         let tokens = 0;
         for (const ticket of this.tickets.values()) {
@@ -253,7 +267,14 @@
             kvTokens,
             hasLongAnswer,
         });
-        this.tickets.set(formatId(vm, ticket), { vm, request, askedAt: now, reviewedAt: now, admittedAt: now, load });
+        this.tickets.set(formatId(vm, ticket), {
+            vm,
+            request,
+            receivedAt: now,
+            reviewedAt: now,
+            admittedAt: now,
+            load,
+        });
         if (key !== undefined) {
             this.uses.set(key, this.countUses(key) + 1);
             this.options.places.recordUse(key, now);
@@ -286,9 +307,9 @@
         }
     }
 
-    /** Forgets a run whose VM has not told its end. */
+    /** Removes a run whose VM has not reported its end in time. */
     private expireRun(id: string, ticket: Ticket, now: number): void {
-        if (now > ticket.admittedAt! + ticket.request.endMs + endMarginMs) {
+        if (now > ticket.admittedAt! + ticket.request.endMs + runEndMarginMs) {
             this.remove(ticket);
             this.tickets.delete(id);
         }
@@ -298,21 +319,25 @@
         if (ticket.admittedAt === undefined || ticket.request.runMs <= 0) {
             return;
         }
-        const pace = (now - ticket.admittedAt) / ticket.request.runMs;
-        const bounded = Math.min(Math.max(pace, minRunPace), maxRunPace);
-        this.runPace += (bounded - this.runPace) * runPaceWeight;
+        const factor = (now - ticket.admittedAt) / ticket.request.runMs;
+        const bounded = Math.min(Math.max(factor, minRunTimeFactor), maxRunTimeFactor);
+        this.runTimeFactor += (bounded - this.runTimeFactor) * runTimeFactorWeight;
     }
 
-    /** Times until adapters that are in use are expected to be idle, in milliseconds, soonest first. */
+    /** Expected times until adapters in use become idle, in milliseconds, soonest first. */
     private listReleases(now: number): number[] {
         const releases = new Map<string, number>();
         for (const { request, admittedAt } of this.tickets.values()) {
             if (admittedAt === undefined || request.key === undefined) {
                 continue;
             }
-            const expectedMs = request.runMs * this.runPace;
-            const restMs = Math.max(admittedAt + expectedMs - now, expectedMs * overdueShare, minRestMs);
-            releases.set(request.key, Math.max(releases.get(request.key) ?? 0, restMs));
+            const expectedMs = request.runMs * this.runTimeFactor;
+            const remainingMs = Math.max(
+                admittedAt + expectedMs - now,
+                expectedMs * overdueRunShare,
+                minRemainingRunMs,
+            );
+            releases.set(request.key, Math.max(releases.get(request.key) ?? 0, remainingMs));
         }
         return [...releases.values()].sort((left, right) => left - right);
     }
--- a/packages/fleet/src/basemodels.ts
+++ b/packages/fleet/src/basemodels.ts
@@ -1,26 +1,28 @@
 import type { EngineLimits } from "@radishreel/routing";
 import type { HeldModel } from "./types.js";
 
-/** Load time of a model of which nothing is known, in milliseconds: one takes 0.6 to 2.9 s by the users' sheets. */
-export const usualModelLoadMs = 1000;
+/** Load time of a model that the engine's limits do not list, in milliseconds: models take 0.6 to 2.9 s to load. */
+export const defaultModelLoadMs = 1000;
 
-/** Rest of a load that has lasted longer than expected, in milliseconds: reports are asked for every 250 ms. */
-const overdueMs = 250;
+/** Expected remaining time of an overdue load, in milliseconds: the owner requests a report every 250 ms. */
+const overdueLoadMs = 250;
 
 /** Options of {@link BaseModels}. */
 export interface BaseModelsOptions {
     readonly limits: EngineLimits;
-    /** What the engine's entry says that it holds. */
+    /** Base models listed in the engine's registry entry. */
     readonly held: readonly HeldModel[];
 }
 
-/** A model on its way to the engine. */
+/** A base model that the engine is loading. */
 interface ModelLoad {
     readonly name: string;
-    readonly orderedAt: number;
+    readonly acceptedAt: number;
 }
 
-/** The base models of one engine. One that has just been added may hold none, and then can load no adapter. */
+/**
+ * Tracks the base models of one engine. A new engine may hold no base model, and cannot load adapters until it does.
+ */
 export class BaseModels {
     private held: readonly HeldModel[];
     private load: ModelLoad | undefined;
@@ -30,7 +32,7 @@
         this.held = options.held;
     }
 
-    /** Whether the engine holds a base model, as far as it has reported. */
+    /** Whether the engine holds a base model, according to its last report. */
     has(name: string): boolean {
         return this.held.some(held => held.name === name);
     }
@@ -40,7 +42,7 @@
         return this.hasReported && this.held.length === 0;
     }
 
-    /** Takes the engine's report. */
+    /** Applies the engine's report. */
     update(held: readonly HeldModel[]): void {
         this.held = held;
         this.hasReported = true;
@@ -49,43 +51,44 @@
         }
     }
 
-    /** Takes word that the engine has accepted to load a model. */
+    /** Records that the engine has accepted an order to load a model. */
     recordLoad(name: string, now: number): void {
-        this.load = { name, orderedAt: now };
+        this.load = { name, acceptedAt: now };
     }
 
     /**
-     * The model that an empty engine is to load before anybody asks for it: its requests go to other engines as long as it has
-     * none, so that it would stay empty. With several models it is the requests that tell which one is wanted.
+     * The base model that an empty engine loads without waiting for a request. Requests go to other engines as long as
+     * the engine is empty, so that it would stay empty. With several models the first request decides which one is
+     * loaded.
      */
-    findMissing(): string | undefined {
+    findModelToPreload(): string | undefined {
         const { models } = this.options.limits;
         return this.isEmpty && models.length === 1 ? models[0]!.name : undefined;
     }
 
-    /** Shortest time in which a model can be there, in milliseconds: an engine may have it on its disk, or in memory. */
-    readShortestMs(name: string): number {
+    /** Shortest load time of a model, in milliseconds: the engine may have the model on disk or in host memory. */
+    readMinLoadMs(name: string): number {
         const model = this.options.limits.models.find(known => known.name === name);
         return model === undefined ? 0 : Math.min(model.loadMs, model.diskLoadMs, model.warmLoadMs);
     }
 
     /**
-     * Expected time until an adapter of a model can be loaded, in milliseconds; 0 before the engine has reported.
-     * @param name The model; undefined for any.
+     * Expected time until an adapter of a model can be loaded, in milliseconds; 0 before the engine's first report.
+     * @param name The model; undefined for any model.
      */
     readWaitMs(name: string | undefined, now: number): number {
-        const isThere = name === undefined ? this.held.length > 0 : this.has(name);
-        if (!this.hasReported || isThere) {
+        const isLoaded = name === undefined ? this.held.length > 0 : this.has(name);
+        if (!this.hasReported || isLoaded) {
             return 0;
         }
         if (this.load !== undefined) {
             const loadMs = this.readLoadMs(this.load.name);
-            return Math.max(overdueMs, this.load.orderedAt + loadMs - now);
+            return Math.max(overdueLoadMs, this.load.acceptedAt + loadMs - now);
         }
-        return this.readLoadMs(name ?? this.findMissing());
+        return this.readLoadMs(name ?? this.findModelToPreload());
     }
 
     private readLoadMs(name: string | undefined): number {
-        return this.options.limits.models.find(model => model.name === name)?.loadMs ?? usualModelLoadMs;
+        return this.options.limits.models.find(model => model.name === name)?.loadMs ?? defaultModelLoadMs;
     }
 }
--- a/packages/fleet/src/forecast.ts
+++ b/packages/fleet/src/forecast.ts
@@ -1,64 +1,62 @@
-import { RecentCount } from "./rates.js";
+import { DecayingCount } from "./rates.js";
 
-/** Adapters that may be on their way to one engine at a time, by the engines' interface. */
-export const maxComing = 4;
+/** Adapters that an engine loads at a time, a limit of the engines' API. */
+export const maxConcurrentLoads = 4;
 
-/** Shortest queue in which late requests are taken to be overtaken. */
-const minOvertakingQueue = 3;
+/** Shortest load queue in which late requests are expected to be overtaken. */
+const minOvertakenQueue = 3;
 
-/**
- * Least part of the loads that late requests are taken to get: load comes in waves. At 0.15 a further 0.01 was declined for
- * 0.015 more on time.
- */
-const minShareLeft = 0.25;
+/** Smallest share of the loads that late requests are expected to get, since requests come in waves. */
+const minLoadShare = 0.25;
 
-/** Where the load of an adapter stands in an engine's queue. */
+/** Position of an adapter in an engine's load queue, and the state of its slots. */
 export interface QueuedLoad {
-    /** Loads in front of it. */
+    /** Number of queued loads ahead of this one. */
     readonly position: number;
-    /** Loads that wait, itself included if it does. */
+    /** Number of queued loads, including this one if it is queued. */
     readonly queued: number;
-    /** Loads on their way. */
-    readonly coming: number;
-    readonly adapterPlaces: number;
-    /** Times until places that are in use are expected to come free, in milliseconds, soonest first. */
+    /** Number of adapters that are loading. */
+    readonly loading: number;
+    readonly adapterSlots: number;
+    /** Expected times until slots in use become free, in milliseconds, soonest first. */
     readonly releases: readonly number[];
-    /** Time of a load from the weight store, in milliseconds. */
-    readonly coldMs: number;
-    /** Until when a request that waits for it can be sent and still be answered in time. */
+    /** Duration of a load from the weight store, in milliseconds. */
+    readonly coldLoadMs: number;
+    /** Until when a request that waits for the adapter can be sent and still be within its latency target. */
     readonly onTimeUntil: number;
 }
 
-/** Predicts when an engine will begin a load that waits. */
+/** Predicts when an engine will start a queued load. */
 export class LoadForecast {
-    /** Adapters that began to wait, and loads that were begun. */
-    private readonly arrivals = new RecentCount();
-    private readonly loadsBegun = new RecentCount();
+    /** Recent rates of adapters that were queued, and of loads that were started. */
+    private readonly arrivals = new DecayingCount();
+    private readonly loadStarts = new DecayingCount();
 
     recordArrival(now: number): void {
         this.arrivals.record(now);
     }
 
-    recordLoad(now: number): void {
-        this.loadsBegun.record(now);
+    recordLoadStart(now: number): void {
+        this.loadStarts.record(now);
     }
 
-    /** Expected time until a load begins, in milliseconds. */
-    readTurnMs(load: QueuedLoad, now: number): number {
-        const { position, coming, adapterPlaces, releases, coldMs } = load;
-        const missing = position + 1 - Math.max(0, adapterPlaces - releases.length - coming);
-        const roomMs = missing <= 0 ? 0 : releases[Math.min(missing, releases.length) - 1] ?? coldMs;
-        const turnMs = Math.max(roomMs, Math.floor((position + coming) / maxComing) * coldMs);
-        const isOvertaken = load.onTimeUntil < now + turnMs && load.queued >= minOvertakingQueue;
-        return isOvertaken ? turnMs / this.readShareLeft(now) : turnMs;
+    /** Expected time until a load starts, in milliseconds. */
+    readWaitMs(load: QueuedLoad, now: number): number {
+        const { position, loading, adapterSlots, releases, coldLoadMs } = load;
+        const missingSlots = position + 1 - Math.max(0, adapterSlots - releases.length - loading);
+        const freeSlotMs = missingSlots <= 0 ? 0 : releases[Math.min(missingSlots, releases.length) - 1] ?? coldLoadMs;
+        const waitMs = Math.max(freeSlotMs, Math.floor((position + loading) / maxConcurrentLoads) * coldLoadMs);
+        const isOvertaken = load.onTimeUntil < now + waitMs && load.queued >= minOvertakenQueue;
+        return isOvertaken ? waitMs / this.readLateShare(now) : waitMs;
     }
 
     /**
-     * Part of the loads that is left for requests that are late: those that can still be on time go before them. Counting it
-     * declines what cannot be served early on, while its caller can still go elsewhere.
+     * Share of the loads that is left for late requests, since requests that can still meet their latency target are
+     * loaded first. A wait that accounts for this share declines hopeless requests early, while their callers can still
+     * go elsewhere.
      */
-    private readShareLeft(now: number): number {
-        const taken = this.arrivals.read(now) / Math.max(1, this.loadsBegun.read(now));
-        return Math.min(1, Math.max(minShareLeft, 1 - taken));
+    private readLateShare(now: number): number {
+        const onTimeShare = this.arrivals.read(now) / Math.max(1, this.loadStarts.read(now));
+        return Math.min(1, Math.max(minLoadShare, 1 - onTimeShare));
     }
 }
--- a/packages/fleet/src/ordering.ts
+++ b/packages/fleet/src/ordering.ts
@@ -1,52 +1,60 @@
 import type { PlacesStep } from "./orders.js";
 
-/** Pause before an engine is asked for its state after an order that it did not take, in milliseconds: reports lag. */
-export const syncPauseMs = 250;
-
-/** Shortest and longest pause between two tries to reach an engine, in milliseconds: a crashed one is down for seconds. */
-const minReachPauseMs = 60;
-const maxReachPauseMs = 240;
-
-/** What an owner's orders to an engine start from. */
-export interface EngineOrderingOptions {
-    /** Orders that the engine has accepted, as it was told last. */
+/**
+ * Delay before a report is requested after an order that the engine did not accept, in milliseconds: reports lag
+ * behind.
+ */
+export const reportDelayMs = 250;
+
+/**
+ * Shortest and longest pause between two attempts to reach an engine, in milliseconds: a crashed engine is down for
+ * seconds.
+ */
+const minReconnectPauseMs = 60;
+const maxReconnectPauseMs = 240;
+
+/** Options of {@link OrderScheduler}. */
+export interface OrderSchedulerOptions {
+    /** Number of orders that the engine has accepted, as last reported. */
     readonly sequence: number;
     readonly now: number;
 }
 
-/** When an engine may be given its next order or asked for a report, and which sequence an order must name. */
-export class EngineOrdering {
-    private accepted: number;
+/** Decides when an engine may get its next order or report request, and which sequence an order must expect. */
+export class OrderScheduler {
+    private acceptedCount: number;
     private mustReport = true;
-    /** Whether the sequence itself is in doubt, so that only a report made after a pause says what it is. */
-    private isInDoubt = false;
+    /**
+     * Whether the sequence is uncertain after a conflict, so that only a report requested after the delay settles it.
+     */
+    private isSequenceUncertain = false;
     private acceptedAt = -Infinity;
-    private reachPauseMs = minReachPauseMs;
+    private reconnectPauseMs = minReconnectPauseMs;
     private isConnected = true;
     private orderNotBefore = -Infinity;
     private reportAt: number;
 
-    constructor({ sequence, now }: EngineOrderingOptions) {
-        this.accepted = sequence;
+    constructor({ sequence, now }: OrderSchedulerOptions) {
+        this.acceptedCount = sequence;
         this.reportAt = now;
     }
 
-    /** Orders that the engine has accepted, as far as is known. */
+    /** Number of orders that the engine has accepted, as far as the owner knows. */
     get sequence(): number {
-        return this.accepted;
+        return this.acceptedCount;
     }
 
-    /** Whether the engine has to be asked for its state before anything else. */
+    /** Whether the engine must report its state before the next order. */
     get needsReport(): boolean {
         return this.mustReport;
     }
 
-    /** Whether the last try to reach the engine found it there. */
+    /** Whether the last attempt to reach the engine succeeded. */
     get isReachable(): boolean {
         return this.isConnected;
     }
 
-    /** What comes before any order; undefined if an order may be given now. */
+    /** The step that must come before any order; undefined if an order may be sent now. */
     findStep(now: number): PlacesStep | undefined {
         if (!this.isConnected) {
             return now >= this.orderNotBefore ? { kind: "report" } : { kind: "wait", untilMs: this.orderNotBefore };
@@ -57,56 +65,59 @@
         return now < this.orderNotBefore ? { kind: "wait", untilMs: this.orderNotBefore } : undefined;
     }
 
-    /** Gives no order for some time. */
+    /** Holds back orders for some time. */
     pause(ms: number, now: number): void {
         this.orderNotBefore = now + ms;
     }
 
-    /** Asks for a report after a pause. */
-    scheduleReport(now: number, waitMs = syncPauseMs): void {
+    /** Schedules a report after a delay. */
+    scheduleReport(now: number, waitMs = reportDelayMs): void {
         this.mustReport = true;
         this.reportAt = now + waitMs;
     }
 
-    /** Asks for a report as soon as one that is due already. */
+    /** Schedules a report at once, or at the time of the report that is already scheduled. */
     scheduleReportNow(now: number): void {
         this.mustReport = true;
         this.reportAt = Math.max(this.reportAt, now);
     }
 
-    /** The engine has accepted an order, and counted it. */
+    /** Records that the engine has accepted an order and increased its sequence. */
     recordAccepted(now: number): void {
-        this.accepted += 1;
+        this.acceptedCount += 1;
         this.acceptedAt = now;
     }
 
-    /** The engine's sequence is another one than was named. */
+    /** Records that the engine's sequence differs from the one that an order expected. */
     recordConflict(now: number): void {
-        this.isInDoubt = true;
+        this.isSequenceUncertain = true;
         this.scheduleReport(now);
     }
 
-    /** Takes a report's sequence. Reports lag: one that may be older than the last order must not take it back. */
+    /**
+     * Applies a report's sequence. Reports lag: a report that may be older than the last order must not lower the
+     * sequence.
+     */
     applyReport(sequence: number, askedAt: number): void {
         this.mustReport = false;
-        const isCurrent = askedAt - this.acceptedAt >= syncPauseMs;
-        this.accepted = isCurrent || this.isInDoubt ? sequence : Math.max(this.accepted, sequence);
-        this.isInDoubt = false;
+        const isCurrent = askedAt - this.acceptedAt >= reportDelayMs;
+        this.acceptedCount = isCurrent || this.isSequenceUncertain ? sequence : Math.max(this.acceptedCount, sequence);
+        this.isSequenceUncertain = false;
     }
 
-    /** A report was asked for and did not come. */
+    /** Records that a requested report did not arrive. */
     recordReportFailure(now: number): void {
-        this.reportAt = now + syncPauseMs;
+        this.reportAt = now + reportDelayMs;
     }
 
     recordReached(): void {
         this.isConnected = true;
-        this.reachPauseMs = minReachPauseMs;
+        this.reconnectPauseMs = minReconnectPauseMs;
     }
 
     recordUnreachable(now: number): void {
         this.isConnected = false;
-        this.orderNotBefore = now + this.reachPauseMs;
-        this.reachPauseMs = Math.min(this.reachPauseMs * 2, maxReachPauseMs);
+        this.orderNotBefore = now + this.reconnectPauseMs;
+        this.reconnectPauseMs = Math.min(this.reconnectPauseMs * 2, maxReconnectPauseMs);
     }
 }
--- a/packages/fleet/src/orders.ts
+++ b/packages/fleet/src/orders.ts
@@ -1,50 +1,50 @@
 import type { HeldModel } from "./types.js";
 
-/** What an order does. */
+/** Action of an order. */
 export type OrderAction = "load" | "unload";
 
 /** One order to an engine. */
 export interface EngineOrder {
     readonly action: OrderAction;
     readonly model: string;
-    /** Missing for a base model. */
+    /** Undefined for a base model. */
     readonly adapter: string | undefined;
-    /** Version to load; the newest one if missing. */
+    /** Version to load; undefined for the newest version. */
     readonly version: number | undefined;
-    /** Orders that the engine must have accepted before, for this one to be accepted. */
+    /** Number of orders that the engine must have accepted before this one; otherwise the outcome is `conflict`. */
     readonly expectedSequence: number;
 }
 
-/** What an engine said to an order. */
+/** Outcome of an order. */
 export type OrderAnswer =
-    /** It is being carried out. */
+    /** The engine is carrying out the order. */
     | "accepted"
-    /** What it asks for holds already. */
+    /** The engine is already in the requested state. */
     | "holds"
-    /** Another order is under way, or the sequence is not the expected one. */
+    /** Another order is in progress, or the engine's sequence differs from the expected one. */
     | "conflict"
-    /** A newer owner has given orders. */
+    /** A newer owner has sent orders, so this owner's fencing token is outdated. */
     | "fenced"
-    /** Another incarnation has the address. */
+    /** Another incarnation uses the address. */
     | "gone"
     /** The engine knows no such order, model or adapter. */
     | "rejected"
-    /** No connection could be opened: it was not sent. */
+    /** No connection could be opened, so the order was not sent. */
     | "unreachable"
-    /** Nothing was heard: it may be carried out, now or later. */
+    /** No response arrived: the engine may carry out the order, now or later. */
     | "unknown";
 
-/** An engine's report of what it holds. */
+/** An engine's report of its models, adapters and orders. */
 export interface EngineReport {
     readonly models: readonly HeldModel[];
-    /** Adapter keys on their way. */
+    /** Keys of adapters that are loading. */
     readonly coming: readonly string[];
     readonly sequence: number;
-    /** Whether an order for a base model is under way. */
+    /** Whether an order for a base model is in progress. */
     readonly isBusy: boolean;
 }
 
-/** What the owner of an engine should do next. */
+/** The next step of the owner of an engine. */
 export type PlacesStep =
     | { readonly kind: "order"; readonly order: EngineOrder; }
     | { readonly kind: "report"; }
--- a/packages/fleet/src/place.ts
+++ b/packages/fleet/src/place.ts
@@ -1,110 +1,109 @@
 import { firstVersion } from "./versions.js";
 
-/** Half-life of an adapter's popularity, in milliseconds: demand moves to other adapters within seconds. */
+/** Half-life of an adapter's popularity, in milliseconds: demand shifts to other adapters within seconds. */
 const popularityHalfLifeMs = 8000;
 
 /**
- * An adapter with this many recent uses is not evicted only to keep a place free: at a half-life of 8 s it is asked for
- * about once in 5 s.
+ * An adapter with this many recent uses is not evicted only to keep a slot free. At a half-life of 8 s this means about
+ * one request in 5 s.
  */
-export const popularUses = 2.5;
+export const minPopularUses = 2.5;
 
-/** An adapter used this recently is not evicted for another one, in milliseconds: its next request may be on its way. */
+/** Shortest idle time before an adapter may be evicted, in milliseconds: its next request may be in transit. */
 const minIdleMs = 150;
 
 /**
- * An adapter that was just loaded stays at least this long for the requests that waited for it, in milliseconds: where places
- * are short it would be evicted before the first of them arrives.
+ * Shortest time that an unused adapter stays loaded, in milliseconds. When slots are scarce it would otherwise be
+ * evicted before the first request that waited for it arrives.
  */
-const minStayMs = 400;
+const minLoadedMs = 400;
 
-/** Shortest time for which a request that waits is taken to occupy a place, in milliseconds. */
-const minBusyMs = 200;
+/** Lower bound of the time for which a queued request is expected to occupy a slot, in milliseconds. */
+const minOccupancyMs = 200;
 
-/** One adapter place of an engine that is taken, as its owner plans it. */
-export interface Place {
-    /** `retiring`: nobody is let in any more, and it will be ordered to go. */
+/** An occupied adapter slot of an engine, as its owner knows it. */
+export interface AdapterSlot {
+    /** `retiring`: no more requests are admitted, and an unload order follows. */
     state: "loaded" | "loading" | "retiring" | "unloading" | "unknown";
-    /** 0 if it was ordered without naming one, since none had been named. */
+    /** 0 if the adapter was ordered without a version, since the operator had named none. */
     version: number;
     checkAt: number;
     checkPauseMs: number;
-    /** When its state last changed. */
+    /** When the state or the version last changed. */
     changedAt: number;
-    /** How long its load is expected to take, in milliseconds. */
+    /** Expected duration of the load, in milliseconds. */
     expectedMs: number;
-    /** When its load was first asked about and not complete, in milliseconds since its order; undefined until then. */
+    /** Time from the load order to the first check that found the load overdue, in milliseconds; undefined before. */
     incompleteMs: number | undefined;
-    /** Whether the engine was taken to keep it in host memory when its load began. */
+    /** Whether the engine was expected to have the adapter in host memory when the load started. */
     isWarm: boolean;
     usedAt: number;
     popularity: number;
     decayedAt: number;
 }
 
-/** The version that an adapter's place holds: the first one where none had been named when it was loaded. */
-export function readPlaceVersion({ version }: Place): number {
+/** Version of the adapter in a slot: the first version if the adapter was ordered without one. */
+export function readSlotVersion({ version }: AdapterSlot): number {
     return version === 0 ? firstVersion : version;
 }
 
-/** Whether an adapter is on its way, or may be. */
-export function isComing(place: Place): boolean {
-    return place.state === "loading" || place.state === "unknown";
+/** Whether an adapter is loading, or may be loading after an order with unknown outcome. */
+export function isLoading(slot: AdapterSlot): boolean {
+    return slot.state === "loading" || slot.state === "unknown";
 }
 
-/** Recent uses of an adapter. */
-export function readPopularity(place: Place, now: number): number {
-    return place.popularity * 0.5 ** (Math.max(0, now - place.decayedAt) / popularityHalfLifeMs);
+/** Number of recent uses of an adapter, with exponential decay. */
+export function readPopularity(slot: AdapterSlot, now: number): number {
+    return slot.popularity * 0.5 ** (Math.max(0, now - slot.decayedAt) / popularityHalfLifeMs);
 }
 
-/** Counts one use. */
-export function recordPlaceUse(place: Place, now: number): void {
-    place.popularity = readPopularity(place, now) + 1;
-    place.decayedAt = now;
-    place.usedAt = now;
+/** Counts one use of the adapter in a slot. */
+export function recordSlotUse(slot: AdapterSlot, now: number): void {
+    slot.popularity = readPopularity(slot, now) + 1;
+    slot.decayedAt = now;
+    slot.usedAt = now;
 }
 
 /**
- * Popularity up to which an idle adapter yields to one that waits. A place serves the waiting one once in the time of a
- * load and a run; an adapter that is asked for more often than that serves more requests in it. When popular ones kept
- * their places until a request had waited 600 ms, 0.900 of the requests at an engine under heavy load were in time, and
- * 0.922 when this took its place (`test/hotset.test.ts`).
+ * Popularity up to which an idle adapter is evicted for a queued one. A slot serves the queued adapter once in the time
+ * of a load and a run; an adapter that is requested more often than that serves more requests in the slot. A minimum
+ * wait before a popular adapter is evicted would leave requests queued beside idle adapters (`test/hotset.test.ts`).
  */
-export function readReplaceable(loadMs: number, runMs: number): number {
-    return popularityHalfLifeMs / Math.LN2 / Math.max(loadMs + runMs, minBusyMs);
+export function readEvictablePopularity(loadMs: number, runMs: number): number {
+    return popularityHalfLifeMs / Math.LN2 / Math.max(loadMs + runMs, minOccupancyMs);
 }
 
-/** What a victim is chosen by. */
-export interface VictimQuery {
-    readonly places: ReadonlyMap<string, Place>;
+/** Criteria for the choice of an eviction candidate. */
+export interface EvictionQuery {
+    readonly slots: ReadonlyMap<string, AdapterSlot>;
     readonly now: number;
     readonly countUses: (key: string) => number;
-    /** Whether requests wait for an adapter. */
-    readonly isWanted: (key: string) => boolean;
+    /** Whether requests are queued for an adapter. */
+    readonly isRequested: (key: string) => boolean;
     readonly maxPopularity: number;
 }
 
-/** Picks the idle adapter whose next request is least likely to come soon. */
-export function chooseVictim(query: VictimQuery): string | undefined {
-    const { places, now, countUses, isWanted } = query;
-    let victim: string | undefined;
+/** Chooses the idle adapter with the lowest popularity, whose next request is least likely to come soon. */
+export function chooseEvictionCandidate(query: EvictionQuery): string | undefined {
+    const { slots, now, countUses, isRequested } = query;
+    let candidate: string | undefined;
     let lowest = query.maxPopularity;
-    for (const [key, place] of places) {
-        const isIdle = place.state === "loaded"
+    for (const [key, slot] of slots) {
+        const isIdle = slot.state === "loaded"
             && countUses(key) === 0
-            && now - place.usedAt >= minIdleMs
-            && (place.usedAt > place.changedAt || now - place.changedAt >= minStayMs);
-        const popularity = readPopularity(place, now);
-        if (isIdle && !isWanted(key) && popularity < lowest) {
+            && now - slot.usedAt >= minIdleMs
+            && (slot.usedAt > slot.changedAt || now - slot.changedAt >= minLoadedMs);
+        const popularity = readPopularity(slot, now);
+        if (isIdle && !isRequested(key) && popularity < lowest) {
             lowest = popularity;
-            victim = key;
+            candidate = key;
         }
     }
-    return victim;
+    return candidate;
 }
 
-/** Places of an engine by what they are used for. */
-export interface PlaceCounts {
+/** Number of an engine's slots by use. */
+export interface SlotCounts {
     inUse: number;
     popular: number;
     idle: number;
@@ -112,22 +111,22 @@
     free: number;
 }
 
-/** How an engine's places are used, for what is told to people. */
-export function countPlacesByUse(
-    places: ReadonlyMap<string, Place>,
+/** Counts an engine's slots by use, for logs and status pages. */
+export function countSlotsByUse(
+    slots: ReadonlyMap<string, AdapterSlot>,
     total: number,
     now: number,
     countUses: (key: string) => number,
-): PlaceCounts {
-    const counts: PlaceCounts = { inUse: 0, popular: 0, idle: 0, moving: 0, free: total - places.size };
-    for (const [key, place] of places) {
-        if (place.state !== "loaded") {
+): SlotCounts {
+    const counts: SlotCounts = { inUse: 0, popular: 0, idle: 0, moving: 0, free: total - slots.size };
+    for (const [key, slot] of slots) {
+        if (slot.state !== "loaded") {
             counts.moving += 1;
         }
         else if (countUses(key) > 0) {
             counts.inUse += 1;
         }
-        else if (readPopularity(place, now) >= popularUses) {
+        else if (readPopularity(slot, now) >= minPopularUses) {
             counts.popular += 1;
         }
         else {
--- a/packages/fleet/src/places.ts
+++ b/packages/fleet/src/places.ts
@@ -1,48 +1,55 @@
 import type { EngineLimits } from "@radishreel/routing";
 import { BaseModels } from "./basemodels.js";
-import { LoadForecast, maxComing } from "./forecast.js";
-import { EngineOrdering, syncPauseMs } from "./ordering.js";
+import { LoadForecast, maxConcurrentLoads } from "./forecast.js";
+import { OrderScheduler, reportDelayMs } from "./ordering.js";
 import type { EngineOrder, EngineReport, OrderAction, OrderAnswer, PlacesStep } from "./orders.js";
-import { chooseVictim, isComing, type Place, type PlaceCounts, popularUses, readReplaceable } from "./place.js";
-import { checkPauseMs, PlaceTable } from "./placetable.js";
+import {
+    type AdapterSlot,
+    chooseEvictionCandidate,
+    isLoading,
+    minPopularUses,
+    readEvictablePopularity,
+    type SlotCounts,
+} from "./place.js";
+import { checkPauseMs, SlotTable } from "./placetable.js";
 import { formatAdapterKey, type HeldModel, parseAdapterKey } from "./types.js";
-import { AdapterQueue, type AdapterWant, wantLifeMs } from "./wants.js";
+import { type AdapterWant, LoadQueue, loadRequestTtlMs } from "./wants.js";
 
-/** Places kept free, so that a load need not wait for an eviction. */
-const freePlaces = 1;
+/** Number of slots kept free, so that a load need not wait for an eviction. */
+const reservedFreeSlots = 1;
 
-/** Pause after an order without an answer, in milliseconds: the wait for the answer was the pause already. */
-const repeatPauseMs = 5;
+/** Pause after an order without a response, in milliseconds: the response timeout has already passed. */
+const resendPauseMs = 5;
 
-/** Pause after word that another incarnation has the address, in milliseconds: the entry will be removed. */
+/** Pause after the outcome `gone`, in milliseconds: the registry entry will be removed. */
 const gonePauseMs = 400;
 
-/** Pause after an order for an adapter that the engine rejected as wrong, in milliseconds. */
+/** Pause after an order that the engine rejected as invalid, in milliseconds. */
 const rejectedPauseMs = 2000;
 
 /** Options of {@link EnginePlaces}. */
 export interface EnginePlacesOptions {
     readonly limits: EngineLimits;
     readonly models: readonly HeldModel[];
-    /** Versions by adapter key that the engine is believed to hold, until it reports. @default {} */
+    /** Versions by adapter key that the engine is assumed to hold, until it reports. @default {} */
     readonly held?: Readonly<Record<string, number>>;
-    /** Adapter keys that the engine is believed to have held lately, least recently first. @default [] */
+    /** Keys of adapters that the engine is expected to have in host memory, least recently loaded first. @default [] */
     readonly warm?: readonly string[];
     readonly sequence: number;
     readonly now: number;
-    /** Newest version of an adapter that the operator has named; loads ask for it. @default none is known */
+    /** Newest version of an adapter that the operator has named; loads request it. @default no version is known */
     readonly findNewest?: ((key: string) => number | undefined) | undefined;
 }
 
 /**
- * The owner's plan for the adapter places of one engine. It never lets loaded, coming and doubtful adapters together
- * exceed the places: a place counts as free only after the engine has said so.
+ * Plans the adapter slots of one engine for its owner. Adapters that are loaded, loading or ordered with unknown
+ * outcome never exceed the number of slots together: a slot counts as free only after the engine has confirmed it.
  */
 export class EnginePlaces {
-    private readonly places: PlaceTable;
-    private readonly wants = new AdapterQueue();
+    private readonly slots: SlotTable;
+    private readonly queue = new LoadQueue();
     private readonly models: BaseModels;
-    private readonly ordering: EngineOrdering;
+    private readonly scheduler: OrderScheduler;
     private readonly limits: EngineLimits;
     private readonly findNewest: (key: string) => number | undefined;
     private readonly forecast = new LoadForecast();
@@ -51,55 +58,55 @@
         this.limits = options.limits;
         this.findNewest = options.findNewest ?? (() => undefined);
         this.models = new BaseModels({ limits: options.limits, held: options.models });
-        this.ordering = new EngineOrdering(options);
-        // An owner that starts anew is not told what the engine keeps in host memory: it asks early about each load.
-        const knowsMemory = options.sequence === 0 || (options.warm ?? []).length > 0;
-        this.places = new PlaceTable({ total: options.limits.adapterPlaces, warm: options.warm, knowsMemory });
+        this.scheduler = new OrderScheduler(options);
+        // A restarted owner does not know which adapters the engine keeps in host memory, so it checks each load early.
+        const isHostMemoryKnown = options.sequence === 0 || (options.warm ?? []).length > 0;
+        this.slots = new SlotTable({ total: options.limits.adapterPlaces, warm: options.warm, isHostMemoryKnown });
         for (const [key, version] of Object.entries(options.held ?? {})) {
-            this.places.update(key, version, "loaded", options.now - syncPauseMs);
+            this.slots.update(key, version, "loaded", options.now - reportDelayMs);
         }
     }
 
-    /** Whether the engine has to be asked for its state before anything else. */
+    /** Whether the engine must report its state before the next order. */
     get needsReport(): boolean {
-        return this.ordering.needsReport;
+        return this.scheduler.needsReport;
     }
 
-    /** Whether the last try to reach the engine found it there. */
+    /** Whether the last attempt to reach the engine succeeded. */
     get isReachable(): boolean {
-        return this.ordering.isReachable;
+        return this.scheduler.isReachable;
     }
 
-    /** Versions by adapter key of what is loaded and not being unloaded. */
+    /** Versions by adapter key of the adapters that are loaded and not being evicted. */
     listHeld(): Record<string, number> {
-        return this.places.listHeld();
+        return this.slots.listHeld();
     }
 
     listComing(): string[] {
-        return this.places.listComing();
+        return this.slots.listLoading();
     }
 
-    /** Adapter keys that wait for a place, in the order in which they will be loaded. */
+    /** Keys of queued adapters that have no slot yet, in load order. */
     listQueued(now: number): string[] {
-        return this.wants.list(now, this.places.readLoadMs(false)).filter(key => !this.places.has(key));
+        return this.queue.list(now, this.slots.readLoadMs(false)).filter(key => !this.slots.has(key));
     }
 
-    /** How the places are used, and how many adapters wait for one, for what is told to people. */
-    countPlaces(now: number, countUses: (key: string) => number): PlaceCounts & { queued: number; } {
-        return { ...this.places.countByUse(now, countUses), queued: this.listQueued(now).length };
+    /** Number of slots by use and number of queued adapters, for logs and status pages. */
+    countPlaces(now: number, countUses: (key: string) => number): SlotCounts & { queued: number; } {
+        return { ...this.slots.countByUse(now, countUses), queued: this.listQueued(now).length };
     }
 
-    /** Expected time of a load, in milliseconds. */
+    /** Expected duration of a load, in milliseconds. */
     readLoadMs(isWarm: boolean): number {
-        return this.places.readLoadMs(isWarm);
+        return this.slots.readLoadMs(isWarm);
     }
 
-    /** Version of an adapter that requests may use now; undefined if it is not loaded. */
+    /** Version of an adapter that requests may use now; undefined if the adapter is not loaded. */
     findLoadedVersion(key: string): number | undefined {
-        return this.places.findLoadedVersion(key);
+        return this.slots.findLoadedVersion(key);
     }
 
-    /** Whether the engine holds a base model, as far as it has reported. */
+    /** Whether the engine holds a base model, according to its last report. */
     hasModel(name: string): boolean {
         return this.models.has(name);
     }
@@ -115,33 +122,33 @@
     }
 
     /**
-     * Expected time until a request for an adapter can be let in, in milliseconds.
-     * @param releases Times until places that are in use are expected to come free, in milliseconds, soonest first.
+     * Expected time until a request for an adapter can be admitted, in milliseconds.
+     * @param releases Expected times until slots in use become free, in milliseconds, soonest first.
      */
     readWaitMs(key: string, now: number, releases: readonly number[]): number {
-        const place = this.places.find(key);
-        if (place !== undefined && isComing(place)) {
-            return Math.max(0, place.changedAt + place.expectedMs - now);
+        const slot = this.slots.find(key);
+        if (slot !== undefined && isLoading(slot)) {
+            return Math.max(0, slot.changedAt + slot.expectedMs - now);
         }
         const queued = this.listQueued(now);
         const found = queued.indexOf(key);
         const position = found < 0 ? queued.length : found;
-        const onTimeUntil = this.wants.find(key)?.onTimeUntil ?? Infinity;
-        const turnMs = this.readTurnMs(position, queued.length, onTimeUntil, now, releases);
+        const onTimeUntil = this.queue.find(key)?.onTimeUntil ?? Infinity;
+        const queueMs = this.readQueueWaitMs(position, queued.length, onTimeUntil, now, releases);
         const modelMs = this.models.readWaitMs(parseAdapterKey(key).model, now);
-        return Math.max(turnMs, modelMs) + this.places.readAdapterLoadMs(key);
+        return Math.max(queueMs, modelMs) + this.slots.readAdapterLoadMs(key);
     }
 
-    /** Expected time until the load of one more adapter would begin, in milliseconds. */
+    /** Expected time until the load of one more adapter would start, in milliseconds. */
     readNextTurnMs(now: number, releases: readonly number[]): number {
         const queued = this.listQueued(now).length;
         return Math.max(
-            this.readTurnMs(queued, queued, Infinity, now, releases),
+            this.readQueueWaitMs(queued, queued, Infinity, now, releases),
             this.models.readWaitMs(undefined, now),
         );
     }
 
-    private readTurnMs(
+    private readQueueWaitMs(
         position: number,
         queued: number,
         onTimeUntil: number,
@@ -151,54 +158,54 @@
         const load = {
             position,
             queued,
-            coming: this.listComing().length,
-            adapterPlaces: this.limits.adapterPlaces,
+            loading: this.listComing().length,
+            adapterSlots: this.limits.adapterPlaces,
             releases,
-            coldMs: this.places.readLoadMs(false),
+            coldLoadMs: this.slots.readLoadMs(false),
             onTimeUntil,
         };
-        return this.forecast.readTurnMs(load, now);
+        return this.forecast.readWaitMs(load, now);
     }
 
-    /** Takes a want back, since nobody waits for the adapter any more. */
+    /** Removes the load request of an adapter that no request waits for any more. */
     removeWant(key: string): void {
-        this.wants.remove(key);
+        this.queue.remove(key);
     }
 
-    /** Asks for an adapter; a request that does not say how long it waits asks again from time to time. */
-    addWant(wanted: AdapterWant, now: number): void {
-        const place = this.places.find(wanted.key);
-        const version = this.findWantedVersion(wanted.key, wanted.version);
-        if (place?.state !== "loaded" || place.version < (version ?? 0)) {
-            if (!this.wants.has(wanted.key)) {
+    /** Adds a load request, or updates the adapter's queued one. Without a lifetime it must be renewed. */
+    addWant(request: AdapterWant, now: number): void {
+        const slot = this.slots.find(request.key);
+        const version = this.findRequestedVersion(request.key, request.version);
+        if (slot?.state !== "loaded" || slot.version < (version ?? 0)) {
+            if (!this.queue.has(request.key)) {
                 this.forecast.recordArrival(now);
             }
-            this.wants.add({ ...wanted, version }, now);
+            this.queue.add({ ...request, version }, now);
         }
     }
 
     /** Counts a request for an adapter. */
     recordUse(key: string, now: number): void {
-        this.places.recordUse(key, now);
+        this.slots.recordUse(key, now);
     }
 
-    /** Takes word that the engine turned a request for an adapter away although it was believed to be loaded. */
+    /** Records that the engine rejected a request for an adapter that counts as loaded. */
     recordMissing(key: string, now: number): void {
-        if (this.places.find(key)?.state === "loaded") {
-            this.ordering.scheduleReportNow(now);
+        if (this.slots.find(key)?.state === "loaded") {
+            this.scheduler.scheduleReportNow(now);
         }
     }
 
     /**
      * Decides the next step.
-     * @param countUses Requests under way with an adapter, over all VMs.
+     * @param countUses Number of running requests that use an adapter, over all VMs.
      */
     decide(now: number, countUses: (key: string) => number): PlacesStep {
-        const first = this.ordering.findStep(now);
+        const first = this.scheduler.findStep(now);
         if (first !== undefined) {
             return first;
         }
-        this.wants.expire(now);
+        this.queue.expire(now);
         this.planEvictions(now, countUses);
         const check = this.findDueCheck(now, countUses);
         if (check !== undefined) {
@@ -211,54 +218,57 @@
         return { kind: "wait", untilMs: this.findNextTime(now) };
     }
 
-    /** Takes the engine's answer to an order. */
-    applyAnswer(order: EngineOrder, answer: OrderAnswer, now: number): void {
-        if (answer === "unreachable") {
+    /** Applies the outcome of an order. */
+    applyAnswer(order: EngineOrder, outcome: OrderAnswer, now: number): void {
+        if (outcome === "unreachable") {
             this.recordUnreachable(now);
             return;
         }
-        this.ordering.recordReached();
-        if (answer === "gone") {
-            this.ordering.pause(gonePauseMs, now);
+        this.scheduler.recordReached();
+        if (outcome === "gone") {
+            this.scheduler.pause(gonePauseMs, now);
             return;
         }
-        if (answer === "conflict" || answer === "unknown") {
-            this.applyDoubt(order, answer, now);
+        if (outcome === "conflict" || outcome === "unknown") {
+            this.applyUncertainOutcome(order, outcome, now);
             return;
         }
         if (order.adapter === undefined) {
-            this.applyModelAnswer(order.model, answer, now);
+            this.applyModelOutcome(order.model, outcome, now);
             return;
         }
         const key = formatAdapterKey(order.model, order.adapter);
-        if (answer === "rejected") {
+        if (outcome === "rejected") {
             this.applyRejection(key, now);
             return;
         }
         if (order.action === "load") {
-            this.applyLoad(key, order, answer, now);
+            this.applyLoadOutcome(key, order, outcome, now);
         }
         else {
-            this.applyUnload(key, answer, now);
+            this.applyUnloadOutcome(key, outcome, now);
         }
     }
 
-    /** A report tells when the model is there; each is priced, so that the first is asked for when it may be. */
-    private applyModelAnswer(model: string, answer: OrderAnswer, now: number): void {
-        this.ordering.scheduleReport(now);
-        if (answer === "accepted") {
+    /**
+     * A report shows when the model is loaded. Each report has a price, so the first is scheduled after the shortest
+     * load time.
+     */
+    private applyModelOutcome(model: string, outcome: OrderAnswer, now: number): void {
+        this.scheduler.scheduleReport(now);
+        if (outcome === "accepted") {
             this.models.recordLoad(model, now);
-            this.ordering.scheduleReport(now, Math.max(syncPauseMs, this.models.readShortestMs(model)));
+            this.scheduler.scheduleReport(now, Math.max(reportDelayMs, this.models.readMinLoadMs(model)));
         }
-        else if (answer === "rejected") {
-            this.ordering.pause(rejectedPauseMs, now);
+        else if (outcome === "rejected") {
+            this.scheduler.pause(rejectedPauseMs, now);
         }
     }
 
-    /** Takes the engine's report. @param askedAt When it was asked for. */
+    /** Applies the engine's report. @param askedAt When the report was requested. */
     applyReport(report: EngineReport, askedAt: number, now: number): void {
-        this.ordering.recordReached();
-        this.ordering.applyReport(report.sequence, askedAt);
+        this.scheduler.recordReached();
+        this.scheduler.applyReport(report.sequence, askedAt);
         this.models.update(report.models);
         const reported = new Map<string, number>();
         for (const model of report.models) {
@@ -266,123 +276,129 @@
                 reported.set(formatAdapterKey(model.name, adapter.name), adapter.version);
             }
         }
-        // Of what is not known here every report is news, also in the first moments of a process, whose clock begins at 0.
-        const hasSettled = (key: string): boolean =>
-            askedAt - (this.places.find(key)?.changedAt ?? -Infinity) >= syncPauseMs;
-        for (const key of [...this.places.entries.keys()]) {
-            if (!reported.has(key) && !report.coming.includes(key) && hasSettled(key)) {
-                this.places.remove(key);
+        // A report is always current for unknown adapters, also right after the start of a process, whose clock begins
+        // at 0.
+        const isReportCurrent = (key: string): boolean =>
+            askedAt - (this.slots.find(key)?.changedAt ?? -Infinity) >= reportDelayMs;
+        for (const key of [...this.slots.entries.keys()]) {
+            if (!reported.has(key) && !report.coming.includes(key) && isReportCurrent(key)) {
+                this.slots.remove(key);
             }
         }
         for (const [key, version] of reported) {
-            if (hasSettled(key)) {
-                this.places.update(key, version, "loaded", now);
+            if (isReportCurrent(key)) {
+                this.slots.update(key, version, "loaded", now);
             }
         }
         for (const key of report.coming) {
-            if (!reported.has(key) && hasSettled(key)) {
-                this.places.update(key, this.wants.find(key)?.version ?? 0, "loading", now);
+            if (!reported.has(key) && isReportCurrent(key)) {
+                this.slots.update(key, this.queue.find(key)?.version ?? 0, "loading", now);
             }
         }
         if (report.isBusy) {
-            this.ordering.scheduleReport(now);
+            this.scheduler.scheduleReport(now);
         }
     }
 
-    /** A report was asked for and did not come. @param wasReached Whether a connection could be opened. */
+    /** Records that a requested report did not arrive. @param wasReached Whether a connection could be opened. */
     recordReportFailure(wasReached: boolean, now: number): void {
-        this.ordering.recordReportFailure(now);
-        if (!wasReached || !this.ordering.isReachable) {
+        this.scheduler.recordReportFailure(now);
+        if (!wasReached || !this.scheduler.isReachable) {
             this.recordUnreachable(now);
         }
     }
 
     /**
-     * Nothing waits at an engine that cannot be reached: the requests that asked are to ask elsewhere at once. A crashed
-     * engine keeps its entry for some 3 s; in that time eleven loads waited at one of six engines of which two were gone.
+     * Empties the load queue of an engine that cannot be reached, so that its requests try other engines at once. A
+     * crashed engine keeps its registry entry for about 3 s, in which loads would queue for it in vain.
      */
     private recordUnreachable(now: number): void {
-        this.wants.removeAll();
-        this.ordering.recordUnreachable(now);
+        this.queue.removeAll();
+        this.scheduler.recordUnreachable(now);
     }
 
-    private applyLoad(key: string, order: EngineOrder, answer: OrderAnswer, now: number): void {
-        const place = this.places.find(key);
-        const version = order.version ?? place?.version ?? 0;
-        if (answer === "holds") {
-            this.places.recordLoaded(key, version, now);
-            this.wants.remove(key);
+    private applyLoadOutcome(key: string, order: EngineOrder, outcome: OrderAnswer, now: number): void {
+        const slot = this.slots.find(key);
+        const version = order.version ?? slot?.version ?? 0;
+        if (outcome === "holds") {
+            this.slots.recordLoaded(key, version, now);
+            this.queue.remove(key);
             return;
         }
-        if (answer !== "accepted") {
+        if (outcome !== "accepted") {
             return;
         }
-        if (place?.state === "loading") {
-            // A check: it is still on its way, and the engine has not counted the order.
-            this.places.recordIncomplete(key, now);
+        if (slot?.state === "loading") {
+            // The order was a check: the load is not complete, and the engine has not counted the order.
+            this.slots.recordIncomplete(key, now);
             return;
         }
-        this.ordering.recordAccepted(now);
-        this.forecast.recordLoad(now);
-        this.places.startLoad(key, version, now);
+        this.scheduler.recordAccepted(now);
+        this.forecast.recordLoadStart(now);
+        this.slots.startLoad(key, version, now);
     }
 
-    private applyUnload(key: string, answer: OrderAnswer, now: number): void {
-        const place = this.places.find(key);
-        if (answer === "holds") {
-            if (place?.state !== "unloading") {
-                this.ordering.recordAccepted(now);
+    private applyUnloadOutcome(key: string, outcome: OrderAnswer, now: number): void {
+        const slot = this.slots.find(key);
+        if (outcome === "holds") {
+            if (slot?.state !== "unloading") {
+                this.scheduler.recordAccepted(now);
             }
-            this.places.remove(key);
+            this.slots.remove(key);
             return;
         }
-        if (answer !== "accepted" || place === undefined) {
+        if (outcome !== "accepted" || slot === undefined) {
             return;
         }
-        if (place.state !== "unloading") {
-            this.ordering.recordAccepted(now);
+        if (slot.state !== "unloading") {
+            this.scheduler.recordAccepted(now);
         }
-        this.places.recordUnloading(key, now);
+        this.slots.recordUnloading(key, now);
     }
 
     /**
-     * After an order without an answer the same one is sent again, with the same expected sequence: at most one of the
-     * two is carried out, whenever they arrive. A conflict means that the sequence is another one.
+     * Resends an order that got no response, with the same expected sequence: the engine carries out at most one of the
+     * two, whenever they arrive. A conflict means that the engine's sequence differs from the expected one.
      */
-    private applyDoubt(order: EngineOrder, answer: OrderAnswer, now: number): void {
-        if (answer === "conflict") {
-            this.ordering.recordConflict(now);
+    private applyUncertainOutcome(order: EngineOrder, outcome: OrderAnswer, now: number): void {
+        if (outcome === "conflict") {
+            this.scheduler.recordConflict(now);
             return;
         }
-        this.ordering.pause(repeatPauseMs, now);
+        this.scheduler.pause(resendPauseMs, now);
         if (order.action === "load" && order.adapter !== undefined) {
             const key = formatAdapterKey(order.model, order.adapter);
-            if (!this.places.has(key)) {
-                this.places.update(key, order.version ?? 0, "unknown", now);
+            if (!this.slots.has(key)) {
+                this.slots.update(key, order.version ?? 0, "unknown", now);
             }
         }
     }
 
     private applyRejection(key: string, now: number): void {
-        this.wants.pause(key, now + rejectedPauseMs);
+        this.queue.pause(key, now + rejectedPauseMs);
     }
 
-    /** Begins to make room, so that the next loads find free places. */
+    /** Starts evictions, so that the next loads find free slots. */
     private planEvictions(now: number, countUses: (key: string) => number): void {
         this.planReplacements(now, countUses);
-        const going = [...this.places.entries.values()].filter(({ state }) =>
+        const evicting = [...this.slots.entries.values()].filter(({ state }) =>
             state === "retiring" || state === "unloading"
         );
-        const free = this.places.free + going.length;
-        const wanted = this.listQueued(now).slice(0, maxComing);
-        for (const key of wanted.slice(free)) {
-            const loadMs = this.places.readAdapterLoadMs(key);
-            this.evictIdle(1, readReplaceable(loadMs, this.wants.find(key)!.runMs), now, countUses);
-        }
-        this.evictIdle(wanted.length + freePlaces - Math.max(free, wanted.length), popularUses, now, countUses);
+        const free = this.slots.free + evicting.length;
+        const nextKeys = this.listQueued(now).slice(0, maxConcurrentLoads);
+        for (const key of nextKeys.slice(free)) {
+            const loadMs = this.slots.readAdapterLoadMs(key);
+            this.evictIdle(1, readEvictablePopularity(loadMs, this.queue.find(key)!.runMs), now, countUses);
+        }
+        this.evictIdle(
+            nextKeys.length + reservedFreeSlots - Math.max(free, nextKeys.length),
+            minPopularUses,
+            now,
+            countUses,
+        );
     }
 
-    /** Begins to evict up to so many idle adapters with less popularity than that. */
+    /** Starts to evict up to `count` idle adapters with a popularity below `maxPopularity`. */
     private evictIdle(
         count: number,
         maxPopularity: number,
@@ -390,62 +406,68 @@
         countUses: (key: string) => number,
     ): void {
         for (let evicted = 0; evicted < count; evicted++) {
-            const isWanted = (key: string): boolean => this.wants.has(key);
-            const victim = chooseVictim({ places: this.places.entries, now, countUses, isWanted, maxPopularity });
-            if (victim === undefined) {
+            const isRequested = (key: string): boolean => this.queue.has(key);
+            const candidate = chooseEvictionCandidate({
+                slots: this.slots.entries,
+                now,
+                countUses,
+                isRequested,
+                maxPopularity,
+            });
+            if (candidate === undefined) {
                 return;
             }
-            this.beginEviction(victim, now);
+            this.beginEviction(candidate, now);
         }
     }
 
     /**
-     * Begins to take out versions that are too old for what waits, once no request uses them. An order to replace one that
-     * is in use is carried out after its runs, and the engine takes no other order until then: it locked an engine for
-     * 3.4 s with 19 loads waiting.
+     * Starts to evict versions that are too old for the queued requests, once no request uses them. An engine carries
+     * out an order to replace a version in use only after its runs, and accepts no other order until then. This can
+     * block an engine for several seconds, for example for 3.4 s with 19 loads queued.
      */
     private planReplacements(now: number, countUses: (key: string) => number): void {
-        for (const [key, place] of this.places.entries) {
-            if (place.state === "loaded" && this.isTooOld(key, place) && countUses(key) === 0) {
+        for (const [key, slot] of this.slots.entries) {
+            if (slot.state === "loaded" && this.isOutdated(key, slot) && countUses(key) === 0) {
                 this.beginEviction(key, now);
             }
         }
     }
 
-    /** Whether what waits for an adapter wants a newer version of it. */
-    private isTooOld(key: string, place: Place): boolean {
-        return (this.wants.find(key)?.version ?? 0) > place.version;
+    /** Whether queued requests need a newer version of an adapter than the loaded one. */
+    private isOutdated(key: string, slot: AdapterSlot): boolean {
+        return (this.queue.find(key)?.version ?? 0) > slot.version;
     }
 
     private beginEviction(key: string, now: number): void {
-        const place = this.places.find(key)!;
-        this.places.update(key, place.version, "retiring", now);
+        const slot = this.slots.find(key)!;
+        this.slots.update(key, slot.version, "retiring", now);
     }
 
-    /** A load or unload whose end is due to be asked for: the same order again says whether it holds. */
+    /** Finds a load or unload whose check is due: the outcome of the repeated order shows whether it is complete. */
     private findDueCheck(now: number, countUses: (key: string) => number): EngineOrder | undefined {
-        for (const [key, place] of this.places.entries) {
-            if (place.state === "loaded" || place.checkAt > now) {
+        for (const [key, slot] of this.slots.entries) {
+            if (slot.state === "loaded" || slot.checkAt > now) {
                 continue;
             }
-            const isWanted = this.wants.has(key) && !this.isTooOld(key, place);
-            if (place.state === "retiring" && (countUses(key) > 0 || isWanted)) {
-                // A request came in between: it stays.
-                this.places.update(key, place.version, "loaded", now);
+            const isRequested = this.queue.has(key) && !this.isOutdated(key, slot);
+            if (slot.state === "retiring" && (countUses(key) > 0 || isRequested)) {
+                // A request arrived meanwhile, so the adapter stays.
+                this.slots.update(key, slot.version, "loaded", now);
                 continue;
             }
-            const isGoing = place.state === "unloading" || place.state === "retiring";
-            return this.createOrder(isGoing ? "unload" : "load", key, place.version);
+            const isBeingEvicted = slot.state === "unloading" || slot.state === "retiring";
+            return this.createOrder(isBeingEvicted ? "unload" : "load", key, slot.version);
         }
         return undefined;
     }
 
     private findNextOrder(now: number): EngineOrder | undefined {
-        const missing = this.models.findMissing();
-        if (missing !== undefined) {
-            return this.createModelOrder(missing);
+        const modelToPreload = this.models.findModelToPreload();
+        if (modelToPreload !== undefined) {
+            return this.createModelOrder(modelToPreload);
         }
-        const key = this.listQueued(now).find(name => this.wants.find(name)!.notBefore <= now);
+        const key = this.listQueued(now).find(name => this.queue.find(name)!.notBefore <= now);
         if (key === undefined) {
             return undefined;
         }
@@ -453,29 +475,29 @@
         if (!this.hasModel(model)) {
             return this.createModelOrder(model);
         }
-        if (this.listComing().length >= maxComing) {
+        if (this.listComing().length >= maxConcurrentLoads) {
             return undefined;
         }
-        const hasRoom = this.places.free > 0;
-        return hasRoom
-            ? this.createOrder("load", key, this.findWantedVersion(key, this.wants.find(key)?.version))
+        const hasFreeSlot = this.slots.free > 0;
+        return hasFreeSlot
+            ? this.createOrder("load", key, this.findRequestedVersion(key, this.queue.find(key)?.version))
             : undefined;
     }
 
-    /** The version to load: the newest one that was named, so that it is known which one the engine then holds. */
-    private findWantedVersion(key: string, asked: number | undefined): number | undefined {
-        const newest = Math.max(asked ?? 0, this.findNewest(key) ?? 0);
+    /** The version to load: the newest named version, so that the owner knows which version the engine then holds. */
+    private findRequestedVersion(key: string, requested: number | undefined): number | undefined {
+        const newest = Math.max(requested ?? 0, this.findNewest(key) ?? 0);
         return newest === 0 ? undefined : newest;
     }
 
     private findNextTime(now: number): number {
-        let next = now + wantLifeMs;
-        for (const place of this.places.entries.values()) {
-            if (place.state !== "loaded") {
-                next = Math.min(next, place.checkAt);
+        let next = now + loadRequestTtlMs;
+        for (const slot of this.slots.entries.values()) {
+            if (slot.state !== "loaded") {
+                next = Math.min(next, slot.checkAt);
             }
         }
-        if (this.wants.size > 0) {
+        if (this.queue.size > 0) {
             next = Math.min(next, now + checkPauseMs);
         }
         return next;
@@ -488,7 +510,7 @@
             model,
             adapter,
             version: action === "load" && version !== 0 ? version : undefined,
-            expectedSequence: this.ordering.sequence,
+            expectedSequence: this.scheduler.sequence,
         };
     }
 
@@ -498,7 +520,7 @@
             model,
             adapter: undefined,
             version: undefined,
-            expectedSequence: this.ordering.sequence,
+            expectedSequence: this.scheduler.sequence,
         };
     }
 }
--- a/packages/fleet/src/placetable.ts
+++ b/packages/fleet/src/placetable.ts
@@ -1,92 +1,99 @@
 import { LoadTimes } from "./loadtimes.js";
-import { countPlacesByUse, isComing, type Place, type PlaceCounts, readPlaceVersion, recordPlaceUse } from "./place.js";
+import {
+    type AdapterSlot,
+    countSlotsByUse,
+    isLoading,
+    readSlotVersion,
+    recordSlotUse,
+    type SlotCounts,
+} from "./place.js";
 import { WarmAdapters } from "./warm.js";
 
-/** Longest pause between two checks of a load or an unload that takes long, in milliseconds. */
+/** Longest pause between two checks of a slow load or unload, in milliseconds. */
 const maxCheckPauseMs = 120;
 
-/** Pause between two checks whether a load or an unload is complete, in milliseconds. */
+/** Initial pause between two checks whether a load or an unload is complete, in milliseconds. */
 export const checkPauseMs = 20;
 
-/** Growth of that pause from one check to the next. */
+/** Growth factor of the pause from one check to the next. */
 const checkPauseFactor = 1.5;
 
-/** Options of {@link PlaceTable}. */
-export interface PlaceTableOptions {
-    /** Places of the engine. */
+/** Options of {@link SlotTable}. */
+export interface SlotTableOptions {
+    /** Number of slots of the engine. */
     readonly total: number;
-    /** Adapter keys that the engine is believed to have held lately, least recently first. @default [] */
+    /** Keys of adapters that the engine is expected to have in host memory, least recently loaded first. @default [] */
     readonly warm?: readonly string[] | undefined;
-    /** Whether all that the engine may keep in host memory is known; otherwise each load may turn out to be a short one. */
-    readonly knowsMemory: boolean;
+    /** Whether `warm` lists all adapters that may be in host memory; otherwise any load may turn out to be warm. */
+    readonly isHostMemoryKnown: boolean;
 }
 
-/** The adapter places of an engine that are taken, by adapter key, and how long its loads take. */
-export class PlaceTable {
-    private readonly places = new Map<string, Place>();
+/** The occupied adapter slots of an engine by adapter key, and its load times. */
+export class SlotTable {
+    private readonly slots = new Map<string, AdapterSlot>();
     private readonly warm: WarmAdapters;
     private readonly loadTimes = new LoadTimes();
 
-    constructor(private readonly options: PlaceTableOptions) {
+    constructor(private readonly options: SlotTableOptions) {
         this.warm = new WarmAdapters(options.warm, options.total);
     }
 
-    /** Places that no adapter has. */
+    /** Number of free slots. */
     get free(): number {
-        return this.options.total - this.places.size;
+        return this.options.total - this.slots.size;
     }
 
-    get entries(): ReadonlyMap<string, Place> {
-        return this.places;
+    get entries(): ReadonlyMap<string, AdapterSlot> {
+        return this.slots;
     }
 
     has(key: string): boolean {
-        return this.places.has(key);
+        return this.slots.has(key);
     }
 
-    find(key: string): Readonly<Place> | undefined {
-        return this.places.get(key);
+    find(key: string): Readonly<AdapterSlot> | undefined {
+        return this.slots.get(key);
     }
 
-    /** Versions by adapter key of what is loaded and not being unloaded. */
+    /** Versions by adapter key of the adapters that are loaded and not being evicted. */
     listHeld(): Record<string, number> {
         const held: Record<string, number> = {};
-        for (const [key, place] of this.places) {
-            if (place.state === "loaded") {
-                held[key] = readPlaceVersion(place);
+        for (const [key, slot] of this.slots) {
+            if (slot.state === "loaded") {
+                held[key] = readSlotVersion(slot);
             }
         }
         return held;
     }
 
-    listComing(): string[] {
-        return [...this.places].filter(([, place]) => isComing(place)).map(([key]) => key);
+    listLoading(): string[] {
+        return [...this.slots].filter(([, slot]) => isLoading(slot)).map(([key]) => key);
     }
 
-    /** Version of an adapter that requests may use now; undefined if it is not loaded. */
+    /** Version of an adapter that requests may use now; undefined if the adapter is not loaded. */
     findLoadedVersion(key: string): number | undefined {
-        const place = this.places.get(key);
-        return place?.state === "loaded" ? readPlaceVersion(place) : undefined;
+        const slot = this.slots.get(key);
+        return slot?.state === "loaded" ? readSlotVersion(slot) : undefined;
     }
 
-    countByUse(now: number, countUses: (key: string) => number): PlaceCounts {
-        return countPlacesByUse(this.places, this.options.total, now, countUses);
+    countByUse(now: number, countUses: (key: string) => number): SlotCounts {
+        return countSlotsByUse(this.slots, this.options.total, now, countUses);
     }
 
-    /** Expected time of a load, in milliseconds. */
+    /** Expected duration of a load, in milliseconds. */
     readLoadMs(isWarm: boolean): number {
         return this.loadTimes.read(isWarm);
     }
 
-    /** Expected time of a load of this adapter, in milliseconds. */
+    /** Expected duration of a load of this adapter, in milliseconds. */
     readAdapterLoadMs(key: string): number {
         return this.loadTimes.read(this.warm.has(key));
     }
 
-    update(key: string, version: number, state: Place["state"], now: number): void {
-        const known = this.places.get(key);
+    update(key: string, version: number, state: AdapterSlot["state"], now: number): void {
+        const known = this.slots.get(key);
         if (known === undefined) {
-            this.places.set(key, {
+            this.slots.set(key, {
                 state,
                 version,
                 checkAt: now,
@@ -111,66 +118,66 @@
     }
 
     remove(key: string): void {
-        this.places.delete(key);
+        this.slots.delete(key);
     }
 
     /** Counts a request for an adapter. */
     recordUse(key: string, now: number): void {
-        const place = this.places.get(key);
-        if (place !== undefined) {
-            recordPlaceUse(place, now);
+        const slot = this.slots.get(key);
+        if (slot !== undefined) {
+            recordSlotUse(slot, now);
         }
     }
 
-    /** Begins a load that the engine has accepted. */
+    /** Records a load that the engine has accepted. */
     startLoad(key: string, version: number, now: number): void {
-        const isWarm = this.warm.has(key) && !this.places.has(key);
+        const isWarm = this.warm.has(key) && !this.slots.has(key);
         this.update(key, version, "loading", now);
-        const place = this.places.get(key)!;
-        place.expectedMs = this.loadTimes.read(isWarm);
-        place.isWarm = isWarm;
-        place.incompleteMs = undefined;
-        place.checkAt = now + this.loadTimes.read(isWarm || !this.options.knowsMemory);
+        const slot = this.slots.get(key)!;
+        slot.expectedMs = this.loadTimes.read(isWarm);
+        slot.isWarm = isWarm;
+        slot.incompleteMs = undefined;
+        slot.checkAt = now + this.loadTimes.read(isWarm || !this.options.isHostMemoryKnown);
     }
 
-    /** A load was asked about and is still on its way. */
+    /** Records that a check found a load incomplete. */
     recordIncomplete(key: string, now: number): void {
-        const place = this.places.get(key)!;
-        const dueAt = place.changedAt + place.expectedMs;
-        if (now < dueAt) {
-            // It was asked about early, in case that the engine had it in memory.
-            place.checkAt = dueAt;
+        const slot = this.slots.get(key)!;
+        const expectedAt = slot.changedAt + slot.expectedMs;
+        if (now < expectedAt) {
+            // The load was checked early, in case the engine had the adapter in host memory.
+            slot.checkAt = expectedAt;
             return;
         }
-        place.incompleteMs ??= now - place.changedAt;
-        this.scheduleCheck(place, now);
+        slot.incompleteMs ??= now - slot.changedAt;
+        this.scheduleCheck(slot, now);
     }
 
-    /** A load is complete: how long it took is learned. */
+    /** Records a complete load, and learns from its duration. */
     recordLoaded(key: string, version: number, now: number): void {
-        const place = this.places.get(key);
-        if (place?.state === "loading") {
-            const loadMs = now - place.changedAt;
-            const wasWarm = place.isWarm || loadMs < place.expectedMs;
-            this.loadTimes.record(wasWarm, loadMs, place.incompleteMs);
+        const slot = this.slots.get(key);
+        if (slot?.state === "loading") {
+            const loadMs = now - slot.changedAt;
+            const wasWarm = slot.isWarm || loadMs < slot.expectedMs;
+            this.loadTimes.record(wasWarm, loadMs, slot.incompleteMs);
         }
         this.update(key, version, "loaded", now);
     }
 
-    /** An unload was accepted, or asked about, and is still on its way. */
+    /** Records that an unload was accepted, or that a check found it incomplete. */
     recordUnloading(key: string, now: number): void {
-        const place = this.places.get(key)!;
-        if (place.state !== "unloading") {
-            place.state = "unloading";
-            place.changedAt = now;
-            place.checkPauseMs = checkPauseMs;
+        const slot = this.slots.get(key)!;
+        if (slot.state !== "unloading") {
+            slot.state = "unloading";
+            slot.changedAt = now;
+            slot.checkPauseMs = checkPauseMs;
         }
-        this.scheduleCheck(place, now);
+        this.scheduleCheck(slot, now);
     }
 
-    /** Looks again after a pause that grows while an order takes long. */
-    private scheduleCheck(place: Place, now: number): void {
-        place.checkAt = now + place.checkPauseMs;
-        place.checkPauseMs = Math.min(place.checkPauseMs * checkPauseFactor, maxCheckPauseMs);
+    /** Schedules the next check, after a pause that grows from check to check. */
+    private scheduleCheck(slot: AdapterSlot, now: number): void {
+        slot.checkAt = now + slot.checkPauseMs;
+        slot.checkPauseMs = Math.min(slot.checkPauseMs * checkPauseFactor, maxCheckPauseMs);
     }
 }
--- a/packages/fleet/src/rates.ts
+++ b/packages/fleet/src/rates.ts
@@ -1,8 +1,8 @@
-/** Half-life of what is counted, in milliseconds: load changes within seconds. */
+/** Half-life of a counted event, in milliseconds: load changes within seconds. */
 const halfLifeMs = 2000;
 
-/** Counts events, recent ones more. */
-export class RecentCount {
+/** Counts events with exponential decay. */
+export class DecayingCount {
     private count = 0;
     private decayedAt = 0;
 
--- a/packages/fleet/src/wants.ts
+++ b/packages/fleet/src/wants.ts
@@ -1,120 +1,124 @@
-/** A want that nobody has renewed for this long is dropped, in milliseconds, unless it says how long it lasts. */
-export const wantLifeMs = 350;
+/** Lifetime of a load request that names none and is not renewed, in milliseconds. */
+export const loadRequestTtlMs = 350;
 
 /**
- * Head start of shorter runs in the order of loads, as a share of the difference. A run of 50 tokens holds a place for
- * 0.5 s, one of 300 tokens for 3 s: places are what binds under heavy load, and in the time of one long run six short
- * ones are served.
+ * Head start of shorter runs in the load order, as a share of the difference in run time. A run of 50 tokens occupies a
+ * slot for 0.5 s, a run of 300 tokens for 3 s. Slots are the bottleneck under heavy load, and six short runs fit into
+ * the time of one long run.
  */
-const runShare = 1;
+const runTimeWeight = 1;
 
-/** Longest handicap of a long run, in milliseconds: the largest requests must not be left to the end of their time. */
-const maxHandicapMs = 2000;
+/**
+ * Upper bound of the penalty of a long run, in milliseconds: the longest requests must not starve until their time
+ * limit.
+ */
+const maxRunPenaltyMs = 2000;
 
 /**
- * Head start of requests that can still be answered in time over those that are late already, in milliseconds. With eight
- * loads waiting at each engine every request was late when served in the order of arrival.
+ * Head start of requests that can still meet their latency target over late ones, in milliseconds. Without it, eight
+ * queued loads at each engine make every request late.
  */
-const onTimeLeadMs = 2000;
+const onTimeHeadStartMs = 2000;
 
-/** An adapter that requests wait for. */
+/** A request to load an adapter, on behalf of a waiting model request. */
 export interface AdapterWant {
     readonly key: string;
-    /** Oldest version that may answer; undefined for any. */
+    /** Oldest version that may serve the request; undefined for any version. */
     readonly version: number | undefined;
-    /** Time for which the request will use it, in milliseconds. */
+    /** Time for which the request will use the adapter, in milliseconds. */
     readonly runMs: number;
-    /** Time in which the request must be sent to be answered in time, in milliseconds; negative once it is late. */
+    /** Time in which the request must be sent to meet its latency target, in milliseconds; negative once it is late. */
     readonly onTimeMs: number;
-    /** How long the request can wait, in milliseconds. @default wantLifeMs */
+    /** How long the request can wait, in milliseconds. @default loadRequestTtlMs */
     readonly lifeMs?: number;
 }
 
-/** What waits for one adapter. */
-interface Want {
+/** The load requests for one adapter, merged. */
+interface QueueEntry {
     version: number | undefined;
-    /** Time for which the shortest waiting run will hold the place, in milliseconds. */
+    /** Time for which the shortest waiting run will occupy the slot, in milliseconds. */
     runMs: number;
-    /** Until when a request that waits for it can be sent and still be answered in time. */
+    /** Until when a request that waits for the adapter can be sent and still meet its latency target. */
     onTimeUntil: number;
     readonly since: number;
     expiresAt: number;
     notBefore: number;
 }
 
-/** Adapters that requests wait for at one engine, and the order in which they are loaded. */
-export class AdapterQueue {
-    private readonly wants = new Map<string, Want>();
+/** Queue of the adapters that requests wait for at one engine, in load order. */
+export class LoadQueue {
+    private readonly entries = new Map<string, QueueEntry>();
 
     get size(): number {
-        return this.wants.size;
+        return this.entries.size;
     }
 
-    /** Asks for an adapter; a request that does not say how long it waits asks again from time to time. */
-    add(wanted: AdapterWant, now: number): void {
-        const { key, version, runMs, lifeMs = wantLifeMs } = wanted;
-        const onTimeUntil = now + wanted.onTimeMs;
+    /** Adds a load request, or merges it into the adapter's queued one. Without a lifetime it must be renewed. */
+    add(request: AdapterWant, now: number): void {
+        const { key, version, runMs, lifeMs = loadRequestTtlMs } = request;
+        const onTimeUntil = now + request.onTimeMs;
         const expiresAt = now + lifeMs;
-        const want = this.wants.get(key);
-        if (want === undefined) {
-            this.wants.set(key, { version, runMs, onTimeUntil, since: now, expiresAt, notBefore: now });
+        const entry = this.entries.get(key);
+        if (entry === undefined) {
+            this.entries.set(key, { version, runMs, onTimeUntil, since: now, expiresAt, notBefore: now });
             return;
         }
-        want.expiresAt = Math.max(want.expiresAt, expiresAt);
-        want.runMs = Math.min(want.runMs, runMs);
-        want.onTimeUntil = Math.max(want.onTimeUntil, onTimeUntil);
-        want.version = Math.max(version ?? 0, want.version ?? 0) || undefined;
+        entry.expiresAt = Math.max(entry.expiresAt, expiresAt);
+        entry.runMs = Math.min(entry.runMs, runMs);
+        entry.onTimeUntil = Math.max(entry.onTimeUntil, onTimeUntil);
+        entry.version = Math.max(version ?? 0, entry.version ?? 0) || undefined;
     }
 
-    find(key: string): Readonly<Want> | undefined {
-        return this.wants.get(key);
+    find(key: string): Readonly<QueueEntry> | undefined {
+        return this.entries.get(key);
     }
 
     has(key: string): boolean {
-        return this.wants.has(key);
+        return this.entries.has(key);
     }
 
     /**
-     * Adapter keys, first first.
-     * @param loadMs Time that a load takes, in milliseconds: what can still be in time depends on it.
+     * Lists the adapter keys in load order.
+     * @param loadMs Duration of a load, in milliseconds, which decides what can still meet its latency target.
      */
     list(now: number, loadMs: number): string[] {
-        return [...this.wants]
-            .sort(([, left], [, right]) => readTurn(left, now, loadMs) - readTurn(right, now, loadMs))
+        return [...this.entries]
+            .sort(([, left], [, right]) => readSortKey(left, now, loadMs) - readSortKey(right, now, loadMs))
             .map(([key]) => key);
     }
 
-    /** Lets an adapter wait until then, whatever its turn. */
+    /** Holds back the load of an adapter until a time, whatever its position. */
     pause(key: string, until: number): void {
-        const want = this.wants.get(key);
-        if (want !== undefined) {
-            want.notBefore = until;
+        const entry = this.entries.get(key);
+        if (entry !== undefined) {
+            entry.notBefore = until;
         }
     }
 
     remove(key: string): void {
-        this.wants.delete(key);
+        this.entries.delete(key);
     }
 
     removeAll(): void {
-        this.wants.clear();
+        this.entries.clear();
     }
 
-    /** Drops what nobody waits for any more. */
+    /** Removes expired load requests. */
     expire(now: number): void {
-        for (const [key, want] of this.wants) {
-            if (now > want.expiresAt) {
-                this.wants.delete(key);
+        for (const [key, entry] of this.entries) {
+            if (now > entry.expiresAt) {
+                this.entries.delete(key);
             }
         }
     }
 }
 
 /**
- * Orders loads: by age, with a lead for requests that can still be answered in time, and for shorter runs, so that long
- * ones cannot hold all places. Age wins in the end.
+ * Sort key of a queued load, lowest first. Loads are ordered by age, with a head start for requests that can still meet
+ * their latency target and for shorter runs, so that long runs cannot occupy all slots. The head starts are bounded, so
+ * that age decides in the end.
  */
-function readTurn(want: Want, now: number, loadMs: number): number {
-    const isOnTime = now + loadMs <= want.onTimeUntil;
-    return want.since + Math.min(want.runMs * runShare, maxHandicapMs) - (isOnTime ? onTimeLeadMs : 0);
+function readSortKey(entry: QueueEntry, now: number, loadMs: number): number {
+    const isOnTime = now + loadMs <= entry.onTimeUntil;
+    return entry.since + Math.min(entry.runMs * runTimeWeight, maxRunPenaltyMs) - (isOnTime ? onTimeHeadStartMs : 0);
 }
--- a/packages/fleet/src/warm.ts
+++ b/packages/fleet/src/warm.ts
@@ -1,25 +1,28 @@
 /**
- * Adapters that an engine keeps in host memory for each place, as a guess of how long a load takes: the three engines that
- * were seen kept six times what they hold.
+ * Number of adapters that an engine keeps in host memory per slot, as an estimate: engines keep about six times as many
+ * as they have slots.
  */
-const warmAdaptersPerPlace = 6;
+const warmAdaptersPerSlot = 6;
 
-/** Fewest adapters taken to be kept: an engine whose places are not known yet. */
+/** Lower bound of the adapters in host memory, for an engine whose number of slots is not known yet. */
 const minWarmAdapters = 48;
 
-/** Remembers which adapters an engine has held lately: those it loads in a tenth of the time, without the weight store. */
+/**
+ * Remembers recently loaded adapters, which an engine loads from host memory in a tenth of the time from the weight
+ * store.
+ */
 export class WarmAdapters {
     private readonly keys = new Set<string>();
     private readonly capacity: number;
 
-    constructor(keys: Iterable<string> = [], places = 0) {
-        this.capacity = Math.max(minWarmAdapters, places * warmAdaptersPerPlace);
+    constructor(keys: Iterable<string> = [], slots = 0) {
+        this.capacity = Math.max(minWarmAdapters, slots * warmAdaptersPerSlot);
         for (const key of keys) {
             this.record(key);
         }
     }
 
-    /** Records that the engine holds an adapter now. */
+    /** Records that the engine has loaded an adapter. */
     record(key: string): void {
         this.keys.delete(key);
         this.keys.add(key);
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Records that a load took as long as one from the weight store although it was taken to be kept. */
+    /** Removes an adapter whose load took as long as a load from the weight store. */
     remove(key: string): void {
         this.keys.delete(key);
     }
@@ -40,7 +43,7 @@
         return this.keys.has(key);
     }
 
-    /** Least recently held first. */
+    /** Lists the adapter keys, least recently loaded first. */
     list(): string[] {
         return [...this.keys];
     }
--- a/packages/fleet/test/admission.test.ts
+++ b/packages/fleet/test/admission.test.ts
@@ -3,14 +3,14 @@
 import { type AddressedAnswer, type AdmissionRequest, EngineAdmission } from "../src/index.js";
 import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
 
-/** An engine with its plan and its queue. */
-function createAdmission(places = 4) {
-    const engine = new ModelEngine(places);
-    const plan = createPlaces(engine, places);
+/** Creates a simulated engine with its slot planner and its admission. */
+function createAdmission(slots = 4) {
+    const engine = new ModelEngine(slots);
+    const planner = createPlaces(engine, slots);
     const newest = new Map<string, number>();
     const admission = new EngineAdmission({
         engine: "e1",
-        places: plan,
+        places: planner,
         mayUse: (key, held, oldest) => held >= Math.max(oldest ?? 0, newest.get(key) ?? 0),
     });
     const answers: AddressedAnswer[] = [];
@@ -18,12 +18,12 @@
         for (let elapsed = 0; elapsed < ms; elapsed += 10) {
             engine.advance(10);
             engine.countRuns = key => admission.countUses(key);
-            runPlan(engine, plan, () => "answered");
+            runPlan(engine, planner, () => "answered");
             answers.push(...admission.advance(engine.now));
         }
     };
     run(10);
-    return { engine, plan, admission, answers, newest, run };
+    return { engine, planner, admission, answers, newest, run };
 }
 
 function createRequest(ticket: number, request: Partial<AdmissionRequest> = {}): AdmissionRequest {
@@ -42,7 +42,7 @@
     };
 }
 
-test("a request whose adapter is loaded is let in at once, any other once its load is complete", () => {
+test("a request is admitted at once if its adapter is loaded, and otherwise once the load is complete", () => {
     const { admission, answers, run, engine } = createAdmission();
     const first = admission.ask("a", createRequest(1), engine.now);
     assert.is(first.kind, "queued");
@@ -54,7 +54,7 @@
     assert.is(admission.load.active, 2);
 });
 
-test("load counts what was let in and has not ended, and its backlog until prompts are read", () => {
+test("the load counts a request until it finishes, and its backlog until its prompt is prefilled", () => {
     const { admission, engine } = createAdmission();
     admission.ask("a", createRequest(1, { key: undefined }), engine.now);
     assert.is(admission.load.backlogTokens, 100);
@@ -65,15 +65,15 @@
     assert.is(admission.load.active, 0);
 });
 
-test("an adapter that nobody waits for any more is not loaded", () => {
-    const { admission, run, engine, plan } = createAdmission();
+test("an adapter is not loaded once no request waits for it", () => {
+    const { admission, run, engine, planner } = createAdmission();
     admission.ask("a", createRequest(1), engine.now);
     admission.end("a", 1, engine.now);
     run(400);
-    assert.equal(plan.listHeld(), {});
+    assert.equal(planner.listHeld(), {});
 });
 
-test("a request that cannot be served while its caller waits is declined at once, with when it could be", () => {
+test("a request that cannot be served within its caller's time limit is declined with the expected wait", () => {
     const { admission, run, engine } = createAdmission(2);
     for (const ticket of [1, 2]) {
         admission.ask("a", createRequest(ticket, { runMs: 8000 }), engine.now);
@@ -83,17 +83,17 @@
     const answer = admission.ask("a", createRequest(3, { patienceMs: 1500 }), engine.now);
     assert.is(answer.kind, "declined");
     assert.ok(answer.kind === "declined" && answer.expectedMs > 5000 && answer.expectedMs < 9000);
-    const patient = admission.ask("a", createRequest(4, { patienceMs: 7900 }), engine.now);
-    assert.is(patient.kind, "queued");
+    const queued = admission.ask("a", createRequest(4, { patienceMs: 7900 }), engine.now);
+    assert.is(queued.kind, "queued");
 });
 
-test("one that waits is declined as soon as it is known that it cannot be met, and not at the end of its time", () => {
+test("a queued request is declined once its expected wait exceeds its time limit, not when the limit ends", () => {
     const { admission, run, engine, answers } = createAdmission(1);
     admission.ask("a", createRequest(1, { runMs: 600 }), engine.now);
     run(300);
     answers.length = 0;
     admission.ask("a", createRequest(2, { patienceMs: 1200 }), engine.now);
-    // The run in front turns out to be far longer than its caller had estimated.
+    // The running request takes far longer than its caller estimated.
     run(600);
     const declined = answers.findIndex(({ answer }) => answer.kind === "declined");
     assert.is(declined >= 0 || engine.now < 1500, true);
@@ -101,7 +101,7 @@
     assert.equal(answers.map(({ answer }) => [answer.kind, answer.ticket]), [["declined", 2]]);
 });
 
-test("an adapter is kept while a VM that is gone may still use it, and no longer", () => {
+test("an adapter counts as in use until the latest possible end of a request whose VM is gone", () => {
     const { admission, run, engine } = createAdmission();
     admission.ask("a", createRequest(1, { endMs: 900 }), engine.now);
     run(300);
@@ -112,7 +112,7 @@
     assert.is(admission.countUses(`${model}/a1`), 0);
 });
 
-test("a VM that tells all its runs replaces what was known of it, and of no other one", () => {
+test("a VM's report of its running requests replaces the earlier ones of this VM, and of no other VM", () => {
     const { admission, engine } = createAdmission();
     admission.ask("a", createRequest(1, { key: undefined }), engine.now);
     admission.ask("b", createRequest(1, { key: undefined }), engine.now);
@@ -127,7 +127,7 @@
     assert.is(admission.load.active, 1);
 });
 
-test("what waits goes on waiting when its VM tells its runs anew", () => {
+test("a queued request stays queued when its VM reports its running requests again", () => {
     const { admission, run, engine, answers } = createAdmission();
     admission.ask("a", createRequest(1), engine.now);
     run(100);
@@ -136,7 +136,7 @@
     assert.equal(answers.map(({ answer }) => [answer.kind, answer.ticket]), [["admitted", 1]]);
 });
 
-test("an older version lets nobody in once the newest must answer", () => {
+test("a request that needs the newest version is not admitted to an older version", () => {
     const { admission, run, engine, answers, newest } = createAdmission();
     admission.ask("a", createRequest(1), engine.now);
     run(300);
@@ -148,31 +148,31 @@
     assert.equal(answers.map(({ answer }) => answer), [{ kind: "admitted", ticket: 2, version: 2 }]);
 });
 
-test("a request for a base model that the engine has lost is declined", () => {
-    const { admission, engine, plan } = createAdmission();
-    plan.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, engine.now, engine.now);
+test("a request for a base model is declined when the engine no longer holds the model", () => {
+    const { admission, engine, planner } = createAdmission();
+    planner.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, engine.now, engine.now);
     assert.is(admission.ask("a", createRequest(1, { key: undefined }), engine.now).kind, "declined");
 });
 
 /**
- * The failure: of the drafts that were still late on a day of 91 VMs nearly all had asked for an adapter that nobody held.
- * All VMs asked the same engine, its home; the load took 0.3 s, all were let in at that moment, and their prompts of 9,000
- * tokens were read one after the other.
+ * Guards against late responses for an adapter that no engine holds: all VMs request it from its preferred engine, all
+ * requests are admitted when the load of 0.3 s is complete, and their prompts of 9,000 tokens are prefilled one after
+ * the other.
  */
-test("a draft is not let wait behind others for the same adapter for longer than it expects", () => {
+test("a request is not queued behind others for the same adapter for longer than its VM expects", () => {
     const { admission, answers, run, engine } = createAdmission();
-    const draft = { key: `${model}/a1`, prefillTokens: 9000, expectedQueueMs: 290 };
-    assert.is(admission.ask("a", createRequest(1, draft), engine.now).kind, "queued");
+    const request = { key: `${model}/a1`, prefillTokens: 9000, expectedQueueMs: 290 };
+    assert.is(admission.ask("a", createRequest(1, request), engine.now).kind, "queued");
     run(20);
-    assert.is(admission.ask("b", createRequest(2, draft), engine.now).kind, "queued");
-    const third = admission.ask("c", createRequest(3, draft), engine.now);
+    assert.is(admission.ask("b", createRequest(2, request), engine.now).kind, "queued");
+    const third = admission.ask("c", createRequest(3, request), engine.now);
     assert.is(third.kind, "busier");
     assert.is(third.kind === "busier" && third.load.backlogTokens, 18_000);
     assert.is(third.kind === "busier" && third.isComing, true);
-    const other = createRequest(4, { ...draft, key: `${model}/a2` });
+    const other = createRequest(4, { ...request, key: `${model}/a2` });
     assert.is(admission.ask("c", other, engine.now).kind, "queued");
     assert.is(
-        admission.ask("c", createRequest(3, { ...draft, expectedQueueMs: undefined }), engine.now).kind,
+        admission.ask("c", createRequest(3, { ...request, expectedQueueMs: undefined }), engine.now).kind,
         "queued",
     );
     run(600);
--- a/packages/fleet/test/crowded.test.ts
+++ b/packages/fleet/test/crowded.test.ts
@@ -4,24 +4,23 @@
 import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
 
 /**
- * One engine with more to do than its places allow, as on the days with one engine of six gone: drafts of 0.7 s and long
- * answers of 1 to 8 s, each for another adapter, at 1.2 times what nine places can serve. Callers wait 4 s for a first
- * event and want it within 1 s. Over the three seeds, in the order of arrival and as ordered now: in time 0.12 and 0.65 of
- * the requests, served 0.85 and 0.92.
+ * One overloaded engine: requests with runs of 0.7 s and long runs of 1 to 8 s, each for another adapter, at 1.2 times
+ * the capacity of nine slots. Callers wait 4 s for a first event, and the latency target is 1 s. Guards against loads
+ * in the order of arrival, which make nearly all requests late, and against an order that starves the longest runs.
  */
-const places = 9;
-const aimMs = 1000;
-const patienceMs = 4000;
+const slots = 9;
+const latencyTargetMs = 1000;
+const callerLimitMs = 4000;
 const lengthMs = 60_000;
 const stepMs = 10;
 
-/** How often a request that waits asks again, in milliseconds. */
-const askMs = 100;
+/** Interval at which a waiting request renews its load request, in milliseconds. */
+const renewalIntervalMs = 100;
 
-/** Requests a second of each kind. */
-const draftsPerSecond = 2.6;
+/** Requests per second of each kind. */
+const shortPerSecond = 2.6;
 const longPerSecond = 2;
-const draftRunMs = 700;
+const shortRunMs = 700;
 
 interface Request {
     readonly key: string;
@@ -31,7 +30,7 @@
     startedAt: number | undefined;
 }
 
-/** A repeatable source of numbers from 0 to 1. */
+/** Creates a seeded random number generator for numbers from 0 to 1. */
 function createRandom(seed: number): () => number {
     let state = seed;
     return () => {
@@ -40,15 +39,15 @@
     };
 }
 
-/** Requests of one run, by arrival. */
+/** Creates the requests of one simulation, by arrival. */
 function createRequests(seed: number): Request[] {
     const random = createRandom(seed);
     const requests: Request[] = [];
     for (let at = 0; at < lengthMs; at += stepMs) {
-        for (const [isLong, perSecond] of [[false, draftsPerSecond], [true, longPerSecond]] as const) {
+        for (const [isLong, perSecond] of [[false, shortPerSecond], [true, longPerSecond]] as const) {
             if (random() < perSecond * stepMs / 1000) {
                 const key = formatAdapterKey(model, `a${requests.length}`);
-                const runMs = isLong ? 1000 * 8 ** random() : draftRunMs;
+                const runMs = isLong ? 1000 * 8 ** random() : shortRunMs;
                 requests.push({ key, isLong, runMs, arrivedAt: at, startedAt: undefined });
             }
         }
@@ -56,15 +55,15 @@
     return requests;
 }
 
-/** Plays the load. @param isOrdered Whether the plan learns what is on time and how long runs are. */
-function runLoad(seed: number, isOrdered: boolean): Request[] {
-    const engine = new ModelEngine(places);
-    const plan = createPlaces(engine, places);
+/** Simulates the workload. @param hasEstimates Whether load requests state the latency target and the run time. */
+function runWorkload(seed: number, hasEstimates: boolean): Request[] {
+    const engine = new ModelEngine(slots);
+    const planner = createPlaces(engine, slots);
     const requests = createRequests(seed);
     const waiting = new Set<Request>();
     for (const request of requests) {
         while (engine.now < request.arrivedAt) {
-            runStep(engine, plan, waiting, isOrdered);
+            runStep(engine, planner, waiting, hasEstimates);
         }
         waiting.add(request);
     }
@@ -73,40 +72,41 @@
 
 function runStep(
     engine: ModelEngine,
-    plan: ReturnType<typeof createPlaces>,
+    planner: ReturnType<typeof createPlaces>,
     waiting: Set<Request>,
-    isOrdered: boolean,
+    hasEstimates: boolean,
 ): void {
     engine.advance(stepMs);
-    const held = plan.listHeld();
+    const held = planner.listHeld();
     for (const request of waiting) {
         const { key, runMs, arrivedAt, startedAt } = request;
         const age = engine.now - arrivedAt;
         if (startedAt === undefined && key in held) {
             request.startedAt = engine.now;
             engine.runs.set(key, 1);
-            plan.recordUse(key, engine.now);
+            planner.recordUse(key, engine.now);
         }
         else if (startedAt !== undefined && engine.now - startedAt >= runMs) {
             engine.runs.set(key, 0);
             waiting.delete(request);
         }
-        else if (startedAt === undefined && age > patienceMs) {
+        else if (startedAt === undefined && age > callerLimitMs) {
             waiting.delete(request);
         }
-        else if (startedAt === undefined && age % askMs < stepMs) {
-            const known = isOrdered ? { runMs, onTimeMs: aimMs - age } : { runMs: 0, onTimeMs: -1 };
-            plan.addWant({ key, version: undefined, ...known }, engine.now);
+        else if (startedAt === undefined && age % renewalIntervalMs < stepMs) {
+            const estimates = hasEstimates ? { runMs, onTimeMs: latencyTargetMs - age } : { runMs: 0, onTimeMs: -1 };
+            planner.addWant({ key, version: undefined, ...estimates }, engine.now);
         }
     }
-    runPlan(engine, plan, () => "answered");
+    runPlan(engine, planner, () => "answered");
 }
 
 function measure(requests: readonly Request[]) {
     const readShare = (chosen: readonly Request[], isGood: (request: Request) => boolean): number =>
         chosen.filter(isGood).length / chosen.length;
     const isServed = (request: Request): boolean => request.startedAt !== undefined;
-    const isOnTime = (request: Request): boolean => (request.startedAt ?? Infinity) - request.arrivedAt <= aimMs;
+    const isOnTime = (request: Request): boolean =>
+        (request.startedAt ?? Infinity) - request.arrivedAt <= latencyTargetMs;
     const long = requests.filter(request => request.isLong);
     const largest = [...long].sort((left, right) => right.runMs - left.runMs).slice(0, Math.ceil(long.length / 10));
     return {
@@ -117,10 +117,10 @@
     };
 }
 
-test("with too few places more requests are in time and served than in the order of arrival, the largest not left out", () => {
+test("on an overloaded engine more requests are on time and served than in order of arrival", () => {
     for (const seed of [1, 2, 3]) {
-        const ordered = measure(runLoad(seed, true));
-        const byArrival = measure(runLoad(seed, false));
+        const ordered = measure(runWorkload(seed, true));
+        const byArrival = measure(runWorkload(seed, false));
         assert.ok(ordered.onTime > byArrival.onTime + 0.3, `${ordered.onTime} against ${byArrival.onTime}`);
         assert.ok(1 - ordered.served < (1 - byArrival.served) * 0.65, `${ordered.served} against ${byArrival.served}`);
         assert.ok(ordered.servedLargest > ordered.servedLong * 0.8, `${ordered.servedLargest}`);
--- a/packages/fleet/test/empty.test.ts
+++ b/packages/fleet/test/empty.test.ts
@@ -1,8 +1,8 @@
 /**
- * The failure: engines were added without a base model. Nobody could see when they began to take work, and drafts queued at
- * other engines meanwhile. An empty engine looked like the best of all: it had nothing to do, and said that an adapter would be
- * there in 250 ms. The model that it needed first takes 2.9 s and was loaded only when a request asked; requests with an aim
- * of 1 s were sent to wait for it, and where none asked it stayed empty.
+ * Guards against two failures with engines that are added without a base model. If the wait for the model is not
+ * counted, an empty engine looks idle with its adapter loaded in 250 ms, although the model takes 2.9 s, so that
+ * requests with a latency target of 1 s wait for it. If the model is loaded only on request, an engine that gets no
+ * request stays empty.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -20,60 +20,60 @@
 const limits = { ...usualLimits, models: [model] };
 const held: HeldModel[] = [{ name: model.name, version: 1, adapters: [] }];
 
-interface LoadedEngine {
+interface TestEngine {
     readonly id: string;
-    readonly places: EnginePlaces;
+    readonly planner: EnginePlaces;
     readonly admission: EngineAdmission;
-    /** When its model is there, by an order; undefined while there was none. */
-    modelAt: number | undefined;
+    /** When the ordered model load is complete; undefined before an order. */
+    modelLoadedAt: number | undefined;
     reports: number;
 }
 
-function createEngine(id: string, models: HeldModel[], now: number): LoadedEngine {
-    const places = new EnginePlaces({ limits, models, sequence: 0, now });
-    places.applyReport({ models, coming: [], sequence: 0, isBusy: false }, now, now);
+function createEngine(id: string, models: HeldModel[], now: number): TestEngine {
+    const planner = new EnginePlaces({ limits, models, sequence: 0, now });
+    planner.applyReport({ models, coming: [], sequence: 0, isBusy: false }, now, now);
     return {
         id,
-        places,
-        admission: new EngineAdmission({ engine: id, places, mayUse: () => true }),
-        modelAt: undefined,
+        planner,
+        admission: new EngineAdmission({ engine: id, places: planner, mayUse: () => true }),
+        modelLoadedAt: undefined,
         reports: 0,
     };
 }
 
-/** Does what the owner of an engine decides, until it waits. */
-function runOwner(engine: LoadedEngine, now: number): void {
+/** Carries out the planner's steps until it waits. */
+function runOwner(engine: TestEngine, now: number): void {
     for (;;) {
-        const step = engine.places.decide(now, () => 0);
+        const step = engine.planner.decide(now, () => 0);
         if (step.kind === "wait") {
             return;
         }
         if (step.kind === "order") {
             assert.is(step.order.adapter, undefined);
-            engine.modelAt = now + model.loadMs;
-            engine.places.applyAnswer(step.order, "accepted", now);
+            engine.modelLoadedAt = now + model.loadMs;
+            engine.planner.applyAnswer(step.order, "accepted", now);
             continue;
         }
         engine.reports += 1;
-        const isThere = engine.modelAt !== undefined && now >= engine.modelAt;
-        const report = { models: isThere ? held : [], coming: [], sequence: 1, isBusy: !isThere };
-        engine.places.applyReport(report, now, now);
+        const isLoaded = engine.modelLoadedAt !== undefined && now >= engine.modelLoadedAt;
+        const report = { models: isLoaded ? held : [], coming: [], sequence: 1, isBusy: !isLoaded };
+        engine.planner.applyReport(report, now, now);
     }
 }
 
-/** The engine that a VM chooses for a draft, by what the owners tell now. */
-function findChoice(engines: readonly LoadedEngine[], now: number): string {
+/** Finds the engine that a VM chooses for a request, given the owners' current status. */
+function findChoice(engines: readonly TestEngine[], now: number): string {
     const view = new FleetView();
-    for (const { id, places, admission } of engines) {
+    for (const { id, planner, admission } of engines) {
         view.updateUpstream({ ...createUpstream(id), models: [] }, now);
-        const news = createNews(id, {
-            held: places.listHeld(),
+        const status = createNews(id, {
+            held: planner.listHeld(),
             waitMs: admission.readNextTurnMs(now),
-            coldLoadMs: places.readLoadMs(false),
-            warmLoadMs: places.readLoadMs(true),
+            coldLoadMs: planner.readLoadMs(false),
+            warmLoadMs: planner.readLoadMs(true),
             load: admission.load,
         });
-        view.updateNews("owner", news, now);
+        view.updateNews("owner", status, now);
     }
     return chooseEngine({
         view,
@@ -88,8 +88,8 @@
     })!.state.upstream.id;
 }
 
-/** An engine whose requests will be read in so many milliseconds. */
-function createBusyEngine(queueMs: number): LoadedEngine {
+/** Creates an engine whose queued prompts take `queueMs` to prefill. */
+function createBusyEngine(queueMs: number): TestEngine {
     const busy = createEngine("busy", held, 0);
     busy.admission.setRuns("vm", [{
         ticket: 1,
@@ -105,21 +105,21 @@
     return busy;
 }
 
-test("an empty engine loads its base model before anybody asks, and takes work as soon as it is there", () => {
+test("an empty engine loads its base model without a request, and is chosen as soon as the model is loaded", () => {
     const busy = createBusyEngine(600);
     const empty = createEngine("empty", [], 0);
-    assert.is(findChoice([busy, empty], 0), "busy", "a draft is not sent to wait 2.9 s for a model");
+    assert.is(findChoice([busy, empty], 0), "busy", "a request must not wait 2.9 s for a model");
     let chosenAt: number | undefined;
     for (let now = 0; now <= 4000 && chosenAt === undefined; now += 10) {
         runOwner(empty, now);
         chosenAt = findChoice([busy, empty], now) === "empty" ? now : undefined;
     }
     assert.ok(chosenAt !== undefined && chosenAt <= model.loadMs + 250, `chosen after ${chosenAt} ms`);
-    assert.ok(chosenAt >= model.loadMs - 700, `flooded after ${chosenAt} ms, while its model is on its way`);
-    assert.ok(empty.reports <= 2, `${empty.reports} reports, each of which is priced`);
+    assert.ok(chosenAt >= model.loadMs - 700, `chosen after ${chosenAt} ms, while its model is still loading`);
+    assert.ok(empty.reports <= 2, `${empty.reports} reports, each of which has a price`);
 });
 
-test("a request that waits for the model is told how long, or declined if its caller will not", () => {
+test("a request that waits for a base model learns the expected wait, and is declined beyond its time limit", () => {
     const empty = createEngine("empty", [], 0);
     runOwner(empty, 0);
     const request = {
@@ -142,13 +142,13 @@
     assert.equal(base, { kind: "declined", ticket: 1, expectedMs: 1900 });
 });
 
-test("of several models none is loaded before a request tells which one is wanted", () => {
+test("an empty engine with several models loads none before a request needs one", () => {
     const several = { ...limits, models: [model, { ...model, name: "other" }] };
-    const places = new EnginePlaces({ limits: several, models: [], sequence: 0, now: 0 });
-    places.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, 0, 0);
-    assert.is(places.decide(0, () => 0).kind, "wait");
-    places.addWant({ key: "other/a1", version: undefined, runMs: 500, onTimeMs: 0 }, 0);
-    const step = places.decide(0, () => 0);
+    const planner = new EnginePlaces({ limits: several, models: [], sequence: 0, now: 0 });
+    planner.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, 0, 0);
+    assert.is(planner.decide(0, () => 0).kind, "wait");
+    planner.addWant({ key: "other/a1", version: undefined, runMs: 500, onTimeMs: 0 }, 0);
+    const step = planner.decide(0, () => 0);
     assert.is(step.kind === "order" && step.order.model, "other");
 });
 
--- a/packages/fleet/test/engine.ts
+++ b/packages/fleet/test/engine.ts
@@ -10,10 +10,10 @@
     type Upstream,
 } from "../src/index.js";
 
-/** The base model that it holds. */
+/** The base model that the simulated engine holds. */
 export const model = "base";
 
-/** Limits of an engine with few places. */
+/** Limits of an engine with few adapter slots. */
 export const limits: EngineLimits = {
     batchSlots: 64,
     kvTokens: 200_000,
@@ -23,36 +23,36 @@
     models: [],
 };
 
-/** Adapters that an engine keeps in host memory for each place. */
-const memoryPerPlace = 6;
+/** Number of adapters that an engine keeps in host memory per slot. */
+const hostMemoryPerSlot = 6;
 
-/** What becomes of an order on its way. */
-export type Fate = "answered" | "answerLost" | "late";
+/** What happens to an order in transit. */
+export type OrderFate = "answered" | "answerLost" | "late";
 
-interface LateOrder {
+interface DelayedOrder {
     readonly order: EngineOrder;
     readonly at: number;
 }
 
-/** An engine as its interface tells it: places, a sequence, loads that take time, unloads that wait for runs. */
+/** Simulates an engine: adapter slots, an order sequence, loads that take time, and unloads that wait for runs. */
 export class ModelEngine {
-    constructor(private readonly places = limits.adapterPlaces) {}
+    constructor(private readonly slots = limits.adapterPlaces) {}
 
     now = 0;
     sequence = 0;
     readonly held = new Map<string, number>();
-    readonly coming = new Map<string, number>();
-    readonly going = new Set<string>();
+    readonly loading = new Map<string, number>();
+    readonly unloading = new Set<string>();
     readonly runs = new Map<string, number>();
-    /** Adapters in host memory, least recently loaded first: they load in a tenth of the time. */
-    private readonly memory = new Set<string>();
-    /** Versions that were asked for, of what is on its way. */
-    private readonly versions = new Map<string, number>();
-    readonly late: LateOrder[] = [];
+    /** Adapters in host memory, least recently loaded first. */
+    private readonly hostMemory = new Set<string>();
+    /** Requested versions of the adapters that are loading. */
+    private readonly loadingVersions = new Map<string, number>();
+    readonly delayedOrders: DelayedOrder[] = [];
     overLimit = 0;
     coldLoadMs = 250;
     warmLoadMs = 250;
-    /** Requests under way with an adapter. */
+    /** Number of running requests that use an adapter. */
     countRuns: (key: string) => number = key => this.runs.get(key) ?? 0;
 
     apply(order: EngineOrder): OrderAnswer {
@@ -67,50 +67,50 @@
         if (order.action === "unload") {
             this.sequence += 1;
             if (this.countRuns(key) > 0) {
-                this.going.add(key);
+                this.unloading.add(key);
                 return "accepted";
             }
             this.held.delete(key);
             return "holds";
         }
         this.sequence += 1;
-        this.coming.set(key, this.now + (this.memory.has(key) ? this.warmLoadMs : this.coldLoadMs));
+        this.loading.set(key, this.now + (this.hostMemory.has(key) ? this.warmLoadMs : this.coldLoadMs));
         this.recordLoad(key);
-        this.versions.set(key, order.version ?? 1);
-        if (new Set([...this.held.keys(), ...this.coming.keys()]).size > this.places) {
+        this.loadingVersions.set(key, order.version ?? 1);
+        if (new Set([...this.held.keys(), ...this.loading.keys()]).size > this.slots) {
             this.overLimit += 1;
         }
         return "accepted";
     }
 
     private recordLoad(key: string): void {
-        this.memory.delete(key);
-        this.memory.add(key);
-        for (const oldest of this.memory) {
-            if (this.memory.size <= this.places * memoryPerPlace) {
+        this.hostMemory.delete(key);
+        this.hostMemory.add(key);
+        for (const oldest of this.hostMemory) {
+            if (this.hostMemory.size <= this.slots * hostMemoryPerSlot) {
                 break;
             }
-            this.memory.delete(oldest);
+            this.hostMemory.delete(oldest);
         }
     }
 
     advance(ms: number): void {
         this.now += ms;
-        for (const [key, at] of this.coming) {
+        for (const [key, at] of this.loading) {
             if (at <= this.now) {
-                this.coming.delete(key);
-                this.held.set(key, this.versions.get(key) ?? 1);
+                this.loading.delete(key);
+                this.held.set(key, this.loadingVersions.get(key) ?? 1);
             }
         }
-        for (const key of this.going) {
+        for (const key of this.unloading) {
             if (this.countRuns(key) === 0) {
-                this.going.delete(key);
+                this.unloading.delete(key);
                 this.held.delete(key);
             }
         }
-        for (const entry of this.late.splice(0)) {
+        for (const entry of this.delayedOrders.splice(0)) {
             if (entry.at > this.now) {
-                this.late.push(entry);
+                this.delayedOrders.push(entry);
             }
             else {
                 this.apply(entry.order);
@@ -122,7 +122,7 @@
         const adapters = [...this.held].map(([key, version]) => ({ name: key.split("/")[1]!, version }));
         return {
             models: [{ name: model, version: 1, adapters }],
-            coming: [...this.coming.keys()],
+            coming: [...this.loading.keys()],
             sequence: this.sequence,
             isBusy: false,
         };
@@ -131,45 +131,45 @@
     private findHeld(order: EngineOrder): OrderAnswer | undefined {
         const key = formatAdapterKey(order.model, order.adapter!);
         if (order.action === "load") {
-            return this.held.has(key) ? "holds" : this.coming.has(key) ? "accepted" : undefined;
+            return this.held.has(key) ? "holds" : this.loading.has(key) ? "accepted" : undefined;
         }
-        return this.going.has(key) ? "accepted" : this.held.has(key) ? undefined : "holds";
+        return this.unloading.has(key) ? "accepted" : this.held.has(key) ? undefined : "holds";
     }
 }
 
-/** A plan for an engine, by what the engine reports. */
-export function createPlaces(engine: ModelEngine, places = limits.adapterPlaces): EnginePlaces {
+/** Creates a slot planner for an engine, from the engine's report. */
+export function createPlaces(engine: ModelEngine, slots = limits.adapterPlaces): EnginePlaces {
     return new EnginePlaces({
-        limits: { ...limits, adapterPlaces: places },
+        limits: { ...limits, adapterPlaces: slots },
         models: engine.readReport().models,
         sequence: 0,
         now: 0,
     });
 }
 
-/** Carries out what the plan says until it waits. */
-export function runPlan(engine: ModelEngine, places: EnginePlaces, readFate: () => Fate): void {
+/** Carries out the planner's steps until it waits. */
+export function runPlan(engine: ModelEngine, planner: EnginePlaces, readFate: () => OrderFate): void {
     for (let steps = 0; steps < 20; steps++) {
-        const step = places.decide(engine.now, key => engine.countRuns(key));
+        const step = planner.decide(engine.now, key => engine.countRuns(key));
         if (step.kind === "wait") {
             return;
         }
         if (step.kind === "report") {
-            places.applyReport(engine.readReport(), engine.now, engine.now);
+            planner.applyReport(engine.readReport(), engine.now, engine.now);
             continue;
         }
         const fate = readFate();
         if (fate === "late") {
-            engine.late.push({ order: step.order, at: engine.now + 5000 });
-            places.applyAnswer(step.order, "unknown", engine.now);
+            engine.delayedOrders.push({ order: step.order, at: engine.now + 5000 });
+            planner.applyAnswer(step.order, "unknown", engine.now);
             continue;
         }
-        const answer = engine.apply(step.order);
-        places.applyAnswer(step.order, fate === "answered" ? answer : "unknown", engine.now);
+        const outcome = engine.apply(step.order);
+        planner.applyAnswer(step.order, fate === "answered" ? outcome : "unknown", engine.now);
     }
 }
 
-/** An engine's entry. */
+/** Creates the registry entry of an engine. */
 export function createUpstream(id: string): Upstream {
     return {
         id,
@@ -185,7 +185,7 @@
     };
 }
 
-/** What the owner of an idle engine tells of it, but for what the options say. */
+/** Creates the owner's status of an idle engine, with overrides. */
 export function createNews(engine: string, options: Partial<EngineNews> = {}): EngineNews {
     return {
         engine,
--- a/packages/fleet/test/play.ts
+++ b/packages/fleet/test/play.ts
@@ -1,48 +1,48 @@
 import { EngineAdmission, formatAdapterKey } from "../src/index.js";
 import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
 
-/** Step of virtual time, in milliseconds. */
+/** Step of simulated time, in milliseconds. */
 const stepMs = 5;
 
-/** Answers within this time are on time; callers leave after the second one, in milliseconds. */
-export const aimMs = 500;
-export const patienceMs = 2250;
+/** Latency target of requests, and time after which their callers leave, in milliseconds. */
+export const latencyTargetMs = 500;
+export const callerLimitMs = 2250;
 
-/** A load on one engine. */
-export interface PlayedLoad {
+/** A workload on one engine. */
+export interface Workload {
     readonly seed: number;
-    readonly places: number;
+    readonly slots: number;
     readonly requestsPerSecond: number;
     readonly adapters: number;
     readonly meanRunMs: number;
     readonly lengthMs: number;
-    /** Factor on all of the engine's times. @default 1 */
+    /** Factor on all durations of the engine. @default 1 */
     readonly slowness?: number;
 }
 
-/** What callers got. Times in milliseconds. */
-export interface PlayedResult {
+/** Result of a workload. Times in milliseconds. */
+export interface WorkloadResult {
     readonly asked: number;
     /** Shares of all requests. */
     readonly onTime: number;
     readonly served: number;
     readonly declined: number;
-    /** Mean time after which those that were declined were told so. */
+    /** Mean time from arrival to decline of the declined requests. */
     readonly declinedAfterMs: number;
-    /** Share of those that were let wait which were served. */
-    readonly keptPromises: number;
-    /** Loads a request. */
+    /** Share of the queued requests that were served. */
+    readonly servedQueuedShare: number;
+    /** Loads per request. */
     readonly loads: number;
 }
 
-interface PlayedRequest {
+interface SimulatedRequest {
     readonly ticket: number;
     readonly arrivedAt: number;
     readonly runMs: number;
     endAt: number | undefined;
 }
 
-/** A repeatable source of numbers from 0 to 1. */
+/** Creates a seeded random number generator for numbers from 0 to 1. */
 export function createRandom(seed: number): () => number {
     let state = seed;
     return () => {
@@ -51,7 +51,7 @@
     };
 }
 
-/** Picks ranks by a Zipf law of exponent 1.2, as demand for adapters is spread. */
+/** Creates a source of ranks by a Zipf distribution with exponent 1.2, as the demand for adapters is distributed. */
 function createZipf(count: number, random: () => number): () => number {
     const weights = Array.from({ length: count }, (_, rank) => (rank + 1) ** -1.2);
     const total = weights.reduce((sum, weight) => sum + weight, 0);
@@ -62,35 +62,35 @@
     };
 }
 
-/** Plays a load through an engine's queue and its plan, in virtual time. */
-export function runLoad(load: PlayedLoad): PlayedResult {
-    const { slowness = 1 } = load;
-    const engine = new ModelEngine(load.places);
+/** Runs a workload through an engine's admission and slot planner, in simulated time. */
+export function runWorkload(workload: Workload): WorkloadResult {
+    const { slowness = 1 } = workload;
+    const engine = new ModelEngine(workload.slots);
     engine.coldLoadMs = 250 * slowness;
     engine.warmLoadMs = 25 * slowness;
-    const places = createPlaces(engine, load.places);
-    const admission = new EngineAdmission({ engine: "e1", places, mayUse: () => true });
+    const planner = createPlaces(engine, workload.slots);
+    const admission = new EngineAdmission({ engine: "e1", places: planner, mayUse: () => true });
     engine.countRuns = key => admission.countUses(key);
-    const random = createRandom(load.seed);
-    const pickRank = createZipf(load.adapters, random);
-    const waiting = new Map<number, PlayedRequest>();
-    const running = new Map<number, PlayedRequest>();
+    const random = createRandom(workload.seed);
+    const pickRank = createZipf(workload.adapters, random);
+    const waiting = new Map<number, SimulatedRequest>();
+    const running = new Map<number, SimulatedRequest>();
     let [asked, onTime, served, declined, declinedAfter, queued, queuedServed] = [0, 0, 0, 0, 0, 0, 0];
-    const start = (request: PlayedRequest): void => {
+    const start = (request: SimulatedRequest): void => {
         served += 1;
-        onTime += engine.now - request.arrivedAt <= aimMs ? 1 : 0;
+        onTime += engine.now - request.arrivedAt <= latencyTargetMs ? 1 : 0;
         request.endAt = engine.now + request.runMs;
         running.set(request.ticket, request);
     };
-    const decline = (request: PlayedRequest): void => {
+    const decline = (request: SimulatedRequest): void => {
         declined += 1;
         declinedAfter += engine.now - request.arrivedAt;
     };
     const arrive = (): void => {
         asked += 1;
-        // Callers estimate the length of their answers; it is off by a factor.
-        const runMs = load.meanRunMs * slowness * Math.exp((random() + random() - 1) * 1.6) * 0.85;
-        const request: PlayedRequest = { ticket: asked, arrivedAt: engine.now, runMs, endAt: undefined };
+        // Callers estimate the length of their responses, and are off by a factor.
+        const runMs = workload.meanRunMs * slowness * Math.exp((random() + random() - 1) * 1.6) * 0.85;
+        const request: SimulatedRequest = { ticket: asked, arrivedAt: engine.now, runMs, endAt: undefined };
         const answer = admission.ask("vm", {
             ticket: asked,
             model,
@@ -99,8 +99,8 @@
             kvTokens: 600,
             hasLongAnswer: false,
             runMs: runMs / slowness * (0.6 + random()),
-            onTimeMs: aimMs,
-            patienceMs,
+            onTimeMs: latencyTargetMs,
+            patienceMs: callerLimitMs,
             endMs: 6000,
         }, engine.now);
         if (answer.kind === "admitted") {
@@ -114,7 +114,7 @@
             waiting.set(asked, request);
         }
     };
-    while (engine.now < load.lengthMs) {
+    while (engine.now < workload.lengthMs) {
         engine.advance(stepMs);
         for (const [ticket, { endAt }] of running) {
             if (endAt! <= engine.now) {
@@ -122,10 +122,10 @@
                 admission.end("vm", ticket, engine.now);
             }
         }
-        if (random() < load.requestsPerSecond * stepMs / 1000) {
+        if (random() < workload.requestsPerSecond * stepMs / 1000) {
             arrive();
         }
-        runPlan(engine, places, () => "answered");
+        runPlan(engine, planner, () => "answered");
         for (const { answer } of admission.advance(engine.now)) {
             const request = waiting.get(answer.ticket)!;
             waiting.delete(answer.ticket);
@@ -144,7 +144,7 @@
         served: served / asked,
         declined: declined / asked,
         declinedAfterMs: declinedAfter / Math.max(1, declined),
-        keptPromises: queuedServed / Math.max(1, queued - waiting.size),
+        servedQueuedShare: queuedServed / Math.max(1, queued - waiting.size),
         loads: engine.sequence / 2 / asked,
     };
 }
