--- a/packages/fleet/src/admission.ts
+++ b/packages/fleet/src/admission.ts
@@ -77,7 +77,7 @@
  * Admits requests to one engine. Every VM requests admission from the engine's owner, so that the owner alone knows
  * which adapters are in use, which requests wait and which deadlines can still be met. A request whose adapter is
  * loaded is admitted at once. Any other request waits for the load, in the order of the slot planner, or is declined as
- * soon as the expected wait exceeds its caller's time limit.
+ * soon as the expected wait clearly exceeds its caller's time limit.
  */
 export class EngineAdmission {
     private readonly tickets = new Map<string, Ticket>();
--- a/packages/fleet/src/claims.ts
+++ b/packages/fleet/src/claims.ts
@@ -3,9 +3,10 @@
     /** Duration of a lease, in milliseconds, counted from when its renewal was sent. */
     readonly useMs: number;
     /**
-     * How long a new holder waits beyond the lease duration of the previous one, in milliseconds. A holder whose
-     * renewals are confirmed at shorter intervals knows that no other VM gave orders in between, even if the store
-     * reassigned the shards several times.
+     * How long a new holder waits beyond the lease duration of the previous one, in milliseconds. A new holder gives no
+     * orders before its lease has been confirmed for longer than this. So a holder whose renewals are confirmed at
+     * shorter intervals knows that no other VM gave orders in between, even if the store reassigned the shards several
+     * times.
      */
     readonly settleMs: number;
     /** Shortest time between the orders of two alternating holders of one engine, in milliseconds. */
