--- a/packages/fleet/src/forecast.ts
+++ b/packages/fleet/src/forecast.ts
@@ -52,8 +52,8 @@
 
     /**
      * Share of the loads that is left for late requests, since requests that can still meet their latency target are
-     * loaded first. A wait that accounts for this share declines requests that cannot be served early, while callers
-     * can still go elsewhere.
+     * loaded first. With this share in the expected wait, a request that cannot be served is declined early, while its
+     * caller can still go elsewhere.
      */
     private readLateShare(now: number): number {
         const onTimeShare = this.arrivals.read(now) / Math.max(1, this.loadStarts.read(now));
