--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -5,11 +5,11 @@
 import type { LinkTicker } from "./ticker.js";
 import type { CloseReason, LinkLimits, NodeIdentity } from "./types.js";
 
-/** Shortest wait before another try to connect, in milliseconds. */
+/** Shortest wait before a reconnection attempt, in milliseconds. */
 const minBackoffMs = 50;
 
-/** Longest wait before another try unless the options say otherwise, in milliseconds. */
-const usualMaxBackoffMs = 2000;
+/** Default of {@link LinkClientOptions.maxBackoffMs}, in milliseconds. */
+const defaultMaxBackoffMs = 2000;
 
 /** Options of {@link LinkClient}. */
 export interface LinkClientOptions<Message, Outgoing = Message> {
@@ -19,14 +19,14 @@
     readonly secret: string;
     readonly schema: z.ZodType<Message, Outgoing>;
     readonly limits: LinkLimits;
-    /** Shared by the links of a process. @default one for each link */
+    /** Ticker shared by the links of a process. @default a separate one for each link */
     readonly ticker?: LinkTicker | undefined;
     readonly events: LinkEvents<Message, Outgoing>;
-    /** Longest wait before another try to connect, in milliseconds. @default 2000 */
+    /** Longest wait before a reconnection attempt, in milliseconds. @default 2000 */
     readonly maxBackoffMs?: number;
 }
 
-/** Keeps one link to an address, and opens it anew whenever it ends. At most one attempt is under way. */
+/** Maintains one link to an address and reconnects whenever the link closes. At most one attempt runs at a time. */
 export class LinkClient<Message, Outgoing = Message> {
     private link: Link<Message, Outgoing> | undefined;
     private retryTimer: NodeJS.Timeout | undefined;
@@ -39,7 +39,7 @@
         this.open();
     }
 
-    /** Ends the link for good. */
+    /** Closes the link and stops reconnecting. */
     stop(): void {
         this.isStopped = true;
         clearTimeout(this.retryTimer);
@@ -72,9 +72,9 @@
         if (this.isStopped) {
             return;
         }
-        // Jitter keeps peers that lost the same VM from coming back in step.
+        // Without jitter, all peers that lost the same VM would reconnect at the same time.
         const waitMs = this.backoffMs * (0.5 + Math.random() / 2);
-        this.backoffMs = Math.min(this.backoffMs * 2, this.options.maxBackoffMs ?? usualMaxBackoffMs);
+        this.backoffMs = Math.min(this.backoffMs * 2, this.options.maxBackoffMs ?? defaultMaxBackoffMs);
         this.retryTimer = setTimeout(() => this.open(), waitMs);
         this.retryTimer.unref();
     }
--- a/packages/wire/src/frame.ts
+++ b/packages/wire/src/frame.ts
@@ -1,12 +1,12 @@
 import { Encoder } from "cbor-x";
 import { err, ok, type Result } from "neverthrow";
 
-/** Bytes of the big-endian length before each frame. */
+/** Size of the big-endian length prefix of a frame, in bytes. */
 export const frameHeaderBytes = 4;
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, variableMapSize: true });
 
-/** One frame: its length, then its CBOR body. */
+/** Encodes a message as one frame: length prefix, then CBOR body. */
 export function encodeFrame(message: unknown): Buffer {
     const body = codec.encode(message);
     const frame = Buffer.allocUnsafe(frameHeaderBytes + body.length);
@@ -15,14 +15,14 @@
     return frame;
 }
 
-/** Cuts a stream of bytes into decoded frames. Holds at most one frame's bytes. */
+/** Splits a byte stream into decoded frames. Buffers at most one incomplete frame. */
 export class FrameReader {
     private chunks: Buffer[] = [];
     private length = 0;
 
     constructor(private readonly maxFrameBytes: number) {}
 
-    /** Takes bytes as they arrive and returns the messages they complete, or why the stream is unusable. */
+    /** Consumes received bytes and returns the messages that they complete, or why the stream is unusable. */
     receive(chunk: Buffer): Result<unknown[], "oversizedFrame" | "malformedFrame"> {
         this.chunks.push(chunk);
         this.length += chunk.length;
--- a/packages/wire/src/greeting.ts
+++ b/packages/wire/src/greeting.ts
@@ -12,20 +12,21 @@
     node: nodeIdentitySchema,
 });
 
-/** Second frame of each side: proof that it knows the shared secret. */
+/** Second frame of each side: proof that the sender knows the shared secret. */
 export const proofSchema = z.strictObject({ type: z.literal("proof"), mac: z.instanceof(Uint8Array) });
 
 /** See {@link helloSchema}. */
 export type Hello = z.infer<typeof helloSchema>;
 
-/** A hello with a fresh nonce. */
+/** Creates a hello with a random nonce. */
 export function createHello(node: NodeIdentity): Hello {
     return { type: "hello", version: protocolVersion, nonce: randomBytes(nonceBytes), node };
 }
 
 /**
- * Proof of `own` towards the side that sent `other`. The prover's own identity and both nonces are under the code, so
- * that a proof can be neither replayed on another connection nor reflected.
+ * Creates the proof that the sender of `own` presents to the sender of `other`. The authentication code (HMAC-SHA256)
+ * covers the prover's identity and both nonces, so that a proof can be neither replayed on another connection nor
+ * reflected to its sender.
  */
 export function createProof(secret: string, own: Hello, other: Hello): Buffer {
     return createHmac("sha256", secret)
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** Authenticated, schema-checked, size-bounded cbor-x frames over TCP. */
+/** Authenticated CBOR frames over TCP, checked against a schema and limited in size. */
 export { type ListenAddress, parseAddress } from "./address.js";
 export { LinkClient, type LinkClientOptions } from "./client.js";
 export { encodeFrame, frameHeaderBytes, FrameReader } from "./frame.js";
--- a/packages/wire/src/link.ts
+++ b/packages/wire/src/link.ts
@@ -6,16 +6,16 @@
 import { LinkTicker } from "./ticker.js";
 import { type CloseReason, type LinkLimits, type NodeIdentity, protocolVersion } from "./types.js";
 
-/** What a link tells its owner. */
+/** Callbacks of a link. */
 export interface LinkEvents<Message, Outgoing = Message> {
-    /** The peer has proved that it knows the secret. */
+    /** Called when the peer has proved that it knows the secret. */
     onOpen(link: Link<Message, Outgoing>): void;
     onMessage(link: Link<Message, Outgoing>, message: Message): void;
-    /** Called once, whether or not the link was ever open. */
+    /** Called once per link, also for a link that never opened. */
     onClose(link: Link<Message, Outgoing>, reason: CloseReason): void;
-    /** Bytes that crossed the socket, for the control budget. */
+    /** Called with the size of every sent frame and received chunk, which count against the control traffic budget. */
     onBytes?(direction: "sent" | "received", count: number): void;
-    /** A heartbeat or a message crossed an open link. */
+    /** Called for every heartbeat and message on an open link. */
     onFrame?(direction: "sent" | "received", type: string): void;
 }
 
@@ -23,11 +23,11 @@
 export interface LinkOptions<Message, Outgoing = Message> {
     readonly socket: Socket;
     readonly self: NodeIdentity;
-    /** Shared by all processes of one deployment. */
+    /** Secret shared by all processes of a deployment. */
     readonly secret: string;
     readonly schema: z.ZodType<Message, Outgoing>;
     readonly limits: LinkLimits;
-    /** Shared by the links of a process. @default one of its own, every `heartbeatMs` */
+    /** Ticker shared by the links of a process. @default a separate one with the interval `heartbeatMs` */
     readonly ticker?: LinkTicker | undefined;
     readonly events: LinkEvents<Message, Outgoing>;
 }
@@ -35,7 +35,7 @@
 const heartbeatType = "heartbeat";
 const heartbeat = encodeFrame({ type: heartbeatType });
 
-/** Life of a link. Messages are taken in `open` only. */
+/** States of a link. Messages are accepted only in the state `open`. */
 const linkMachine = createMachine("greeting", {
     greeting: state(transition("hello", "proving"), transition("close", "closed")),
     proving: state(transition("proof", "open"), transition("close", "closed")),
@@ -43,7 +43,7 @@
     closed: state(),
 });
 
-/** One authenticated connection between two processes. It owns its socket and its timers. */
+/** One authenticated connection between two processes. The link owns its socket. */
 export class Link<Message, Outgoing = Message> {
     private readonly service = interpret(linkMachine, () => {});
     private readonly reader: FrameReader;
@@ -51,10 +51,10 @@
     private peerHello: Hello | undefined;
     private lastReceived = performance.now();
     private lastSent = performance.now();
-    /** Whether frames are gathered, to be written together at the end of this step. */
-    private isGathering = false;
+    /** Whether the socket is corked: frames of the current tick are buffered and written together. */
+    private isCorked = false;
     private readonly ticker: LinkTicker;
-    private readonly check = (): void => this.checkSilence();
+    private readonly onTick = (): void => this.checkLiveness();
 
     constructor(private readonly options: LinkOptions<Message, Outgoing>) {
         const { socket, limits } = options;
@@ -65,24 +65,27 @@
         socket.on("error", () => this.close("peerClosed"));
         socket.on("close", () => this.close("peerClosed"));
         this.ticker = options.ticker ?? new LinkTicker(limits.heartbeatMs);
-        this.ticker.add(this.check);
+        this.ticker.add(this.onTick);
         this.write(encodeFrame(this.ownHello));
     }
 
-    /** The other side. Only known once the link is open. */
+    /**
+     * Identity of the other side.
+     * @throws {Error} before the peer's hello has arrived; see {@link hasPeer}.
+     */
     get peer(): NodeIdentity {
         if (this.peerHello === undefined) {
-            throw new Error("the peer of a link is read before its hello");
+            throw new Error("link.peer was read before the peer's hello arrived");
         }
         return this.peerHello.node;
     }
 
-    /** Whether the other side has said who it is. */
+    /** Whether the peer's hello has arrived. */
     get hasPeer(): boolean {
         return this.peerHello !== undefined;
     }
 
-    /** Time since anything was received, in milliseconds. */
+    /** Time since the last received bytes, in milliseconds. */
     get quietMs(): number {
         return performance.now() - this.lastReceived;
     }
@@ -91,7 +94,7 @@
         return this.service.machine.current === "open";
     }
 
-    /** Sends a message that {@link encodeFrame} has encoded, for those that go to many. */
+    /** Sends a frame created by {@link encodeFrame}, so that a broadcast encodes its message only once. */
     sendEncoded(frame: Buffer, type: string): boolean {
         if (!this.isOpen) {
             return false;
@@ -101,18 +104,18 @@
         return true;
     }
 
-    /** Sends one message. A message to a link that is not open is dropped, as if it had been lost on the way. */
+    /** Sends one message. A link that is not open drops it, as if lost in transit, and returns false. */
     send(message: Outgoing): boolean {
         return this.isOpen && this.sendEncoded(encodeFrame(message), readType(message));
     }
 
-    /** Ends the link. Frames sent before are still written. */
+    /** Closes the link. With the reason `asked`, frames sent before are still written. */
     close(reason: CloseReason): void {
         if (this.service.machine.current === "closed") {
             return;
         }
         this.service.send("close");
-        this.ticker.remove(this.check);
+        this.ticker.remove(this.onTick);
         if (reason === "asked") {
             this.options.socket.end();
         }
@@ -126,23 +129,23 @@
         const { socket, limits, events } = this.options;
         this.lastSent = performance.now();
         events.onBytes?.("sent", frame.length);
-        this.scheduleWrite();
+        this.scheduleFlush();
         socket.write(frame);
         if (socket.writableLength > limits.maxBufferedBytes) {
             this.close("overrun");
         }
     }
 
-    /** What one step sends goes out in one call of the system, and wakes the other side once. */
-    private scheduleWrite(): void {
-        if (this.isGathering) {
+    /** Writes all frames of the current tick with one system call, which wakes the receiving process only once. */
+    private scheduleFlush(): void {
+        if (this.isCorked) {
             return;
         }
         const { socket } = this.options;
-        this.isGathering = true;
+        this.isCorked = true;
         socket.cork();
         process.nextTick(() => {
-            this.isGathering = false;
+            this.isCorked = false;
             socket.uncork();
         });
     }
@@ -218,14 +221,14 @@
         this.options.events.onMessage(this, message.data);
     }
 
-    private checkSilence(): void {
+    private checkLiveness(): void {
         const now = performance.now();
         const { heartbeatMs, silenceMs } = this.options.limits;
         if (now - this.lastReceived > silenceMs) {
             this.close("silent");
             return;
         }
-        // One that would be due before the next call of the ticker has come by half of its interval is sent now.
+        // A heartbeat that falls due in the first half of the ticker's next interval is sent now.
         if (this.isOpen && now - this.lastSent >= heartbeatMs - this.ticker.intervalMs / 2) {
             this.write(heartbeat);
             this.options.events.onFrame?.("sent", heartbeatType);
@@ -233,7 +236,7 @@
     }
 }
 
-/** What a frame says it is; "other" for one that does not say. */
+/** Returns the `type` of a frame, or "other" for a frame without one. */
 function readType(frame: unknown): string {
     const type = (frame as { type?: unknown; } | undefined)?.type;
     return typeof type === "string" ? type : "other";
--- a/packages/wire/src/server.ts
+++ b/packages/wire/src/server.ts
@@ -7,19 +7,19 @@
 /** Options of {@link LinkServer}. */
 export interface LinkServerOptions<Message, Outgoing = Message> {
     readonly host: string;
-    /** 0 lets the system choose. */
+    /** TCP port; 0 lets the operating system choose a free one. */
     readonly port: number;
     readonly self: () => NodeIdentity;
     readonly secret: string;
     readonly schema: z.ZodType<Message, Outgoing>;
-    /** Limits of all links, or what gives them for each link that is accepted. */
+    /** Limits of all links, or a function that returns the limits of each accepted link. */
     readonly limits: LinkLimits | (() => LinkLimits);
-    /** Shared by the links of a process. @default one for each link */
+    /** Ticker shared by the links of a process. @default a separate one for each link */
     readonly ticker?: LinkTicker | undefined;
     readonly events: LinkEvents<Message, Outgoing>;
 }
 
-/** Accepts links from peers. */
+/** Listens for connections of peers and holds a link for each. */
 export class LinkServer<Message, Outgoing = Message> {
     private readonly server: Server;
     private readonly links = new Set<Link<Message, Outgoing>>();
@@ -28,7 +28,7 @@
         this.server = createServer(socket => this.receiveSocket(socket));
     }
 
-    /** Starts to listen and returns the port. */
+    /** Starts listening and returns the port. */
     async start(): Promise<number> {
         await new Promise<void>(resolve => this.server.listen(this.options.port, this.options.host, resolve));
         return (this.server.address() as AddressInfo).port;
--- a/packages/wire/src/ticker.ts
+++ b/packages/wire/src/ticker.ts
@@ -1,33 +1,33 @@
 /**
- * Calls all links of a process to look at their heartbeats and at silence, by one timer: with a timer for each link a VM
- * with many links is woken for each of them.
+ * One timer for the heartbeats and the silence checks of all links of a process. With a timer per link, a VM with many
+ * links would wake up once for each of them.
  */
 export class LinkTicker {
-    private readonly checks = new Set<() => void>();
+    private readonly callbacks = new Set<() => void>();
     private timer: NodeJS.Timeout | undefined;
 
-    /** @param intervalMs Time between two calls, in milliseconds. */
+    /** @param intervalMs Time between two calls of a callback, in milliseconds. */
     constructor(readonly intervalMs: number) {}
 
-    add(check: () => void): void {
-        this.checks.add(check);
+    add(callback: () => void): void {
+        this.callbacks.add(callback);
         if (this.timer === undefined) {
-            this.timer = setInterval(() => this.runChecks(), this.intervalMs);
+            this.timer = setInterval(() => this.runCallbacks(), this.intervalMs);
             this.timer.unref();
         }
     }
 
-    remove(check: () => void): void {
-        this.checks.delete(check);
-        if (this.checks.size === 0) {
+    remove(callback: () => void): void {
+        this.callbacks.delete(callback);
+        if (this.callbacks.size === 0) {
             clearInterval(this.timer);
             this.timer = undefined;
         }
     }
 
-    private runChecks(): void {
-        for (const check of [...this.checks]) {
-            check();
+    private runCallbacks(): void {
+        for (const callback of [...this.callbacks]) {
+            callback();
         }
     }
 }
--- a/packages/wire/src/types.ts
+++ b/packages/wire/src/types.ts
@@ -1,31 +1,31 @@
 import * as z from "zod";
 
-/** Version of the frame protocol. A peer that speaks another one is refused. */
+/** Version of the frame protocol. A link to a peer with another version is closed. */
 export const protocolVersion = 1;
 
-/** Roles of the processes that talk to each other. */
+/** Roles of the processes that connect to each other. */
 export const roleSchema = z.enum(["gateway", "agent", "node"]);
 
-/** Who a process is. The incarnation tells a restarted process from the one before it. */
+/** Identity of a process. The incarnation distinguishes a restarted process from its predecessor. */
 export const nodeIdentitySchema = z.strictObject({
     id: z.string().min(1).max(128),
     role: roleSchema,
     dataCentre: z.string().min(1).max(64),
-    /** Rises with every start of the same id: start time in milliseconds. */
+    /** Start time in milliseconds since the epoch; increases with every start of a process with the same id. */
     incarnation: z.number().int().nonnegative(),
-    /** Where others reach this process: `host:port` of its listener for peers or, for a gateway, for callers. */
+    /** `host:port` at which other processes reach this one: its listener for peers or, for a gateway, for callers. */
     address: z.string().max(128),
 });
 
 /** See {@link nodeIdentitySchema}. */
 export type NodeIdentity = z.infer<typeof nodeIdentitySchema>;
 
-/** Names one start of a process. */
+/** Formats an identity as `id#incarnation`, unique for each start of a process. */
 export function formatIncarnation(identity: NodeIdentity): string {
     return `${identity.id}#${identity.incarnation}`;
 }
 
-/** Why a link ended. Each is a label of the frame counter. */
+/** Why a link closed. Each reason is a label value of the frame counter. */
 export type CloseReason =
     | "asked"
     | "peerClosed"
@@ -40,17 +40,17 @@
 
 /** Limits and intervals of a link. */
 export interface LinkLimits {
-    /** A heartbeat is sent after this long without another frame. @default 1000 */
+    /** Time without a sent frame after which a heartbeat is sent, in milliseconds. @default 1000 */
     readonly heartbeatMs: number;
-    /** A link on which nothing arrives for this long is closed. @default 3000 */
+    /** Time without received bytes after which the link is closed, in milliseconds. @default 3000 */
     readonly silenceMs: number;
-    /** The same heartbeat of the side that opened a link. @default heartbeatMs */
+    /** `heartbeatMs` of the side that opened the connection. @default heartbeatMs */
     readonly callerHeartbeatMs: number;
-    /** The same silence on the side that accepted a link. @default silenceMs */
+    /** `silenceMs` of the side that accepted the connection. @default silenceMs */
     readonly callerSilenceMs: number;
-    /** Largest frame taken from a peer, in bytes. @default 1048576 */
+    /** Size of the largest accepted frame, in bytes. @default 1048576 */
     readonly maxFrameBytes: number;
-    /** Most bytes that wait to be sent before the link is given up. @default 16777216 */
+    /** Largest send buffer, in bytes; the link is closed when more wait to be sent. @default 16777216 */
     readonly maxBufferedBytes: number;
 }
 
--- a/packages/wire/test/link.test.ts
+++ b/packages/wire/test/link.test.ts
@@ -18,49 +18,49 @@
 } from "../src/index.js";
 
 const schema = z.strictObject({ type: z.literal("word"), text: z.string() });
-type Word = z.infer<typeof schema>;
+type TestMessage = z.infer<typeof schema>;
 
 function createIdentity(id: string): NodeIdentity {
     return { id, role: "agent", dataCentre: "depot", incarnation: 1, address: "127.0.0.1:1" };
 }
 
-interface Opened {
-    readonly messages: Word[];
+interface LinkRecorder {
+    readonly messages: TestMessage[];
     readonly reasons: CloseReason[];
-    waitForMessage(): Promise<Word>;
+    waitForMessage(): Promise<TestMessage>;
     waitForClose(): Promise<CloseReason>;
-    waitForOpen(): Promise<Link<Word>>;
+    waitForOpen(): Promise<Link<TestMessage>>;
 }
 
-/** Records what a side sees, and lets tests wait for it. */
+/** Records the events of one side of a link and lets tests wait for them. */
 function createRecorder() {
-    const messages: Word[] = [];
+    const messages: TestMessage[] = [];
     const reasons: CloseReason[] = [];
     const waiting: {
-        message: ((word: Word) => void)[];
+        message: ((message: TestMessage) => void)[];
         close: ((reason: CloseReason) => void)[];
-        open: ((link: Link<Word>) => void)[];
+        open: ((link: Link<TestMessage>) => void)[];
     } = {
         message: [],
         close: [],
         open: [],
     };
-    let opened: Link<Word> | undefined;
+    let opened: Link<TestMessage> | undefined;
     const events = {
-        onOpen: (link: Link<Word>) => {
+        onOpen: (link: Link<TestMessage>) => {
             opened = link;
             waiting.open.splice(0).forEach(resolve => resolve(link));
         },
-        onMessage: (_link: Link<Word>, word: Word) => {
-            messages.push(word);
-            waiting.message.splice(0).forEach(resolve => resolve(word));
+        onMessage: (_link: Link<TestMessage>, message: TestMessage) => {
+            messages.push(message);
+            waiting.message.splice(0).forEach(resolve => resolve(message));
         },
-        onClose: (_link: Link<Word>, reason: CloseReason) => {
+        onClose: (_link: Link<TestMessage>, reason: CloseReason) => {
             reasons.push(reason);
             waiting.close.splice(0).forEach(resolve => resolve(reason));
         },
     };
-    const recorder: Opened = {
+    const recorder: LinkRecorder = {
         messages,
         reasons,
         waitForMessage: () =>
@@ -74,7 +74,7 @@
 
 async function startServer(secret = "secret", limits = {}) {
     const { events, recorder } = createRecorder();
-    const server = new LinkServer<Word>({
+    const server = new LinkServer<TestMessage>({
         host: "127.0.0.1",
         port: 0,
         self: () => createIdentity("server"),
@@ -89,7 +89,7 @@
 
 function startClient(port: number, secret = "secret", limits = {}) {
     const { events, recorder } = createRecorder();
-    const client = new LinkClient<Word>({
+    const client = new LinkClient<TestMessage>({
         address: `127.0.0.1:${port}`,
         self: () => createIdentity("client"),
         secret,
@@ -112,7 +112,7 @@
     server.stop();
 });
 
-/** Two ends of a connection within this process, and how many calls of the system each would have made to write. */
+/** Creates two connected in-process sockets and counts the write system calls that each would have made. */
 function createSockets() {
     const sockets: Duplex[] = [];
     const writes = [0, 0];
@@ -132,11 +132,11 @@
     return { sockets, writes };
 }
 
-test("what one step sends on a link is written at once, in its order", async () => {
+test("messages sent on a link in the same tick are written in one system call and in order", async () => {
     const { sockets, writes } = createSockets();
     const recorders = sockets.map(() => createRecorder());
     const links = sockets.map((socket, index) =>
-        new Link<Word>({
+        new Link<TestMessage>({
             socket: socket as Socket,
             self: createIdentity(`end ${index}`),
             secret: "secret",
@@ -154,14 +154,14 @@
     await recorders[1]!.recorder.waitForMessage();
     assert.equal(recorders[1]!.recorder.messages.map(({ text }) => text), texts);
     assert.is(writes[0]! - before, 1);
-    // What is sent just before the end goes out as well.
+    // A message sent just before the link is closed is still written.
     links[0]!.send({ type: "word", text: "last" });
     links[0]!.close("asked");
     assert.is(writes[0]! - before, 2);
     links[1]!.close("asked");
 });
 
-test("a process with another secret is refused", async () => {
+test("a link to a process with a different secret is closed as notAuthenticated", async () => {
     const { server, recorder, port } = await startServer("one");
     const { client, recorder: clientRecorder } = startClient(port, "another");
     const reasons = await Promise.race([recorder.waitForClose(), clientRecorder.waitForClose()]);
@@ -171,20 +171,24 @@
     server.stop();
 });
 
-/** Bytes that a peer must not send, and what the link is closed with. */
-const badBytes: readonly { name: string; bytes: Buffer; reason: CloseReason; }[] = [
+/** Invalid bytes from a peer, and the reason with which the link is closed. */
+const invalidFrames: readonly { name: string; bytes: Buffer; reason: CloseReason; }[] = [
     { name: "an oversized frame", bytes: Buffer.from([0x7f, 0xff, 0xff, 0xff]), reason: "oversizedFrame" },
-    { name: "a frame that is no CBOR", bytes: Buffer.from([0, 0, 0, 3, 0xff, 0xff, 0xff]), reason: "malformedFrame" },
-    { name: "a frame that is no hello", bytes: encodeFrame({ type: "word", text: "hello" }), reason: "malformedFrame" },
+    { name: "a frame that is not CBOR", bytes: Buffer.from([0, 0, 0, 3, 0xff, 0xff, 0xff]), reason: "malformedFrame" },
     {
-        name: "a hello of another version",
+        name: "a first frame that is not a hello",
+        bytes: encodeFrame({ type: "word", text: "hello" }),
+        reason: "malformedFrame",
+    },
+    {
+        name: "a hello with another protocol version",
         bytes: encodeFrame({ type: "hello", version: 99, nonce: Buffer.alloc(16), node: createIdentity("old") }),
         reason: "wrongVersion",
     },
 ];
 
-for (const { name, bytes, reason } of badBytes) {
-    test(`${name} closes that connection and no other`, async () => {
+for (const { name, bytes, reason } of invalidFrames) {
+    test(`${name} closes its connection, and the server still accepts others`, async () => {
         const { server, recorder, port } = await startServer();
         const socket = connect(port, "127.0.0.1");
         socket.on("error", () => {});
@@ -198,18 +202,18 @@
     });
 }
 
-test("an unknown message on an open link closes it", async () => {
+test("a message of an unknown type closes an open link", async () => {
     const { server, recorder, port } = await startServer();
     const { client, recorder: clientRecorder } = startClient(port);
     const link = await clientRecorder.waitForOpen();
     await recorder.waitForOpen();
-    link.send({ type: "other", text: "" } as unknown as Word);
+    link.send({ type: "other", text: "" } as unknown as TestMessage);
     assert.is(await recorder.waitForClose(), "unknownMessage");
     client.stop();
     server.stop();
 });
 
-test("a frame cut at every byte arrives whole", async () => {
+test("a frame split into two chunks at any byte is decoded completely", async () => {
     const message = { type: "word", text: "cut me" };
     const frame = encodeFrame(message);
     for (let cut = 0; cut <= frame.length; cut++) {
@@ -220,8 +224,8 @@
     }
 });
 
-/** A middleman that can stop passing bytes on while its connections stay open. */
-async function startMiddleman(
+/** Starts a proxy that can stop forwarding bytes while its connections stay open. */
+async function startProxy(
     target: number,
 ): Promise<{ port: number; server: Server; freeze(): void; sockets: Socket[]; }> {
     const sockets: Socket[] = [];
@@ -249,16 +253,16 @@
     };
 }
 
-test("a link that goes silent is closed and opened anew", async () => {
+test("a link without received bytes for silenceMs is closed, and the client reconnects", async () => {
     const { server, port } = await startServer("secret", { heartbeatMs: 20, silenceMs: 60_000 });
-    const middleman = await startMiddleman(port);
-    const { client, recorder } = startClient(middleman.port, "secret", { heartbeatMs: 20, silenceMs: 100 });
+    const proxy = await startProxy(port);
+    const { client, recorder } = startClient(proxy.port, "secret", { heartbeatMs: 20, silenceMs: 100 });
     const first = await recorder.waitForOpen();
-    middleman.freeze();
+    proxy.freeze();
     assert.is(await recorder.waitForClose(), "silent");
     await new Promise<void>(resolve => {
         const timer = setInterval(() => {
-            if (middleman.sockets.length > 2) {
+            if (proxy.sockets.length > 2) {
                 clearInterval(timer);
                 resolve();
             }
@@ -267,11 +271,11 @@
     assert.not(first.isOpen);
     client.stop();
     server.stop();
-    middleman.server.close();
-    middleman.sockets.forEach(socket => socket.destroy());
+    proxy.server.close();
+    proxy.sockets.forEach(socket => socket.destroy());
 });
 
-test("frames are CBOR that any decoder reads", () => {
+test("the body of a frame is decoded by a plain CBOR decoder", () => {
     const frame = encodeFrame({ type: "word", text: "plain" });
     assert.equal(new Encoder({ useRecords: false }).decode(frame.subarray(4)), { type: "word", text: "plain" });
 });
