--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,3 +1,3 @@
-/** JSON with comments, checked against a schema, with the position of every mistake. */
+/** Reads JSON with comments, validates it against a schema and reports each mistake with its position. */
 export { type FileMistake, formatMistake, parseJsonc } from "./parse.js";
 export { loadSettings, readJsonc } from "./read.js";
--- a/packages/settings/src/parse.ts
+++ b/packages/settings/src/parse.ts
@@ -2,17 +2,17 @@
 import { err, ok, type Result } from "neverthrow";
 import type { z } from "zod";
 
-/** One mistake in a file, with its position. Lines and columns count from 1. */
+/** A mistake in a file, with its position. Lines and columns are numbered from 1. */
 export interface FileMistake {
     readonly file: string;
     readonly line: number;
     readonly column: number;
-    /** Dotted path of the value that is wrong; empty for the whole file. */
+    /** Dotted path of the invalid value; empty for the whole file. */
     readonly path: string;
     readonly message: string;
 }
 
-/** Finds the value at `path`, or its nearest ancestor when the value itself is missing. */
+/** Finds the node at `path`, or its nearest ancestor if no such node exists. */
 function findNearestNode(root: Node, path: readonly PropertyKey[]): Node {
     for (let length = path.length; length > 0; length--) {
         const segments = path.slice(0, length).filter(part => typeof part !== "symbol");
@@ -25,11 +25,11 @@
 }
 
 function createMistake(file: string, text: string, offset: number, path: string, message: string): FileMistake {
-    const before = text.slice(0, offset).split("\n");
-    return { file, line: before.length, column: (before.at(-1) ?? "").length + 1, path, message };
+    const linesBefore = text.slice(0, offset).split("\n");
+    return { file, line: linesBefore.length, column: (linesBefore.at(-1) ?? "").length + 1, path, message };
 }
 
-/** Rebuilds the plain value, since jsonc-parser's own `getNodeValue` drops nothing and reports no duplicates. */
+/** Converts a node to a plain value and collects duplicate keys; jsonc-parser's `getNodeValue` does not report them. */
 function readValue(node: Node, duplicates: Node[]): unknown {
     if (node.type === "array") {
         return (node.children ?? []).map(child => readValue(child, duplicates));
@@ -52,9 +52,9 @@
 }
 
 /**
- * Parses JSON with comments and checks it against `schema`.
- * @param file Name used in the mistakes.
- * @returns The checked value, or every mistake found, each with its line and column.
+ * Parses JSON with comments and validates it against `schema`.
+ * @param file File name for the mistakes.
+ * @returns The validated value, or all mistakes found, each with its line and column.
  */
 export function parseJsonc<Schema extends z.ZodType>(
     file: string,
@@ -111,7 +111,7 @@
     );
 }
 
-/** One line for people: `file:line:column: path: message`. */
+/** Formats a mistake as one line of text: `file:line:column: path: message`. */
 export function formatMistake(mistake: FileMistake): string {
     const path = mistake.path === "" ? "" : `${mistake.path}: `;
     return `${mistake.file}:${mistake.line}:${mistake.column}: ${path}${mistake.message}`;
--- a/packages/settings/src/read.ts
+++ b/packages/settings/src/read.ts
@@ -3,7 +3,7 @@
 import type { z } from "zod";
 import { type FileMistake, formatMistake, parseJsonc } from "./parse.js";
 
-/** Reads and checks one file of JSON with comments. A file that cannot be read is a mistake at its first line. */
+/** Reads and validates a file of JSON with comments. A file that cannot be read is reported as a mistake at 1:1. */
 export async function readJsonc<Schema extends z.ZodType>(
     file: string,
     schema: Schema,
@@ -18,7 +18,7 @@
     return parseJsonc(file, text, schema);
 }
 
-/** Reads a program's settings, or ends the program with status 2 and every mistake on standard error. */
+/** Reads a program's settings. If they have mistakes, prints all of them to standard error and exits with status 2. */
 export async function loadSettings<Schema extends z.ZodType>(file: string, schema: Schema): Promise<z.output<Schema>> {
     const settings = await readJsonc(file, schema);
     if (settings.isOk()) {
