--- a/packages/log/src/http.ts
+++ b/packages/log/src/http.ts
@@ -12,28 +12,28 @@
     vmSchema,
 } from "./types.js";
 
-/** Options of the platform's clients. */
+/** Options of {@link HttpLogClient} and {@link HttpVmListClient}. */
 export interface PlatformClientOptions {
     /** `host:port` of the platform's service. */
     readonly address: string;
-    /** Longest wait for an answer, in milliseconds, on top of a read's own wait. @default 2000 */
+    /** Longest wait for a response, in milliseconds; a read adds its own `waitMs`. @default 2000 */
     readonly timeoutMs?: number;
 }
 
 const defaultTimeoutMs = 2000;
-const connections = 4;
+const poolConnections = 4;
 
-/** Errors of undici that prove that no byte of the request was sent. */
+/** Error codes of undici and the operating system that prove that no byte of the request was sent. */
 const notSentCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** JSON over HTTP to one service of the platform, with the effect of every failure. */
+/** JSON client of one HTTP service of the platform. Each error states whether the request may have taken effect. */
 class PlatformHttp {
     private readonly pool: Pool;
     private readonly timeoutMs: number;
 
     constructor(options: PlatformClientOptions) {
         this.pool = new Pool(`http://${options.address}`, {
-            connections,
+            connections: poolConnections,
             pipelining: 1,
             connectTimeout: defaultTimeoutMs,
         });
@@ -48,16 +48,17 @@
         waitMs = 0,
     ): Promise<Result<Output, PlatformError>> {
         try {
-            // The signal covers the body too: a connection that goes silent in the middle of an answer is given up.
+            // The signal covers the body too: a connection that stalls in the middle of a response is aborted.
             const signal = AbortSignal.timeout(this.timeoutMs + waitMs);
-            const answer = await this.pool.request({ method, path, body, signal });
-            const text = await answer.body.text();
-            if (answer.statusCode !== 200) {
-                const isRefusal = answer.statusCode === 429 || answer.statusCode === 503 || answer.statusCode < 500;
-                return err({ effect: isRefusal ? "notDone" : "unknown", message: `status ${answer.statusCode}` });
+            const response = await this.pool.request({ method, path, body, signal });
+            const text = await response.body.text();
+            if (response.statusCode !== 200) {
+                const isRefusal = response.statusCode === 429 || response.statusCode === 503
+                    || response.statusCode < 500;
+                return err({ effect: isRefusal ? "notDone" : "unknown", message: `status ${response.statusCode}` });
             }
             const parsed = schema.safeParse(JSON.parse(text));
-            return parsed.success ? ok(parsed.data) : err({ effect: "unknown", message: "malformed answer" });
+            return parsed.success ? ok(parsed.data) : err({ effect: "unknown", message: "malformed response" });
         }
         catch (error) {
             const code = (error as { code?: string; }).code ?? "";
@@ -66,7 +67,7 @@
     }
 }
 
-/** Log service over HTTP. Wire form: docs/reference/platform.md. */
+/** HTTP client of the append-only log. The protocol is described in docs/reference/platform.md. */
 export class HttpLogClient implements LogClient {
     private readonly http: PlatformHttp;
 
@@ -75,8 +76,13 @@
     }
 
     async append(stream: string, data: string): Promise<Result<number, PlatformError>> {
-        const answer = await this.http.send("POST", `/streams/${stream}`, z.object({ offset: z.number().int() }), data);
-        return answer.map(({ offset }) => offset);
+        const response = await this.http.send(
+            "POST",
+            `/streams/${stream}`,
+            z.object({ offset: z.number().int() }),
+            data,
+        );
+        return response.map(({ offset }) => offset);
     }
 
     read(stream: string, offset: number, waitMs: number): Promise<Result<LogPage, PlatformError>> {
@@ -90,7 +96,7 @@
     }
 }
 
-/** VM list over HTTP. Wire form: docs/reference/platform.md. */
+/** HTTP client of the VM list. The protocol is described in docs/reference/platform.md. */
 export class HttpVmListClient implements VmListClient {
     private readonly http: PlatformHttp;
 
@@ -99,7 +105,7 @@
     }
 
     async list(): Promise<Result<Vm[], PlatformError>> {
-        const answer = await this.http.send("GET", "/vms", z.object({ vms: z.array(vmSchema) }));
-        return answer.map(({ vms }) => vms);
+        const response = await this.http.send("GET", "/vms", z.object({ vms: z.array(vmSchema) }));
+        return response.map(({ vms }) => vms);
     }
 }
