--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,12 +1,12 @@
 import { type ConsolaInstance, createConsola } from "consola";
 
-/** How log lines are written: for people, or one JSON object a line. */
+/** Format of log lines: `text` for people, `json` for one JSON object per line. */
 export type LogFormat = "text" | "json";
 
-/** Logger for changes of state; everything else is a counter. */
+/** Logger for state changes; everything else is counted in metrics. */
 export type Logger = ConsolaInstance;
 
-/** Opens the logger of one program. Lines go to standard error, so that standard output stays for results. */
+/** Creates the logger of a program. Log lines go to standard error; standard output is reserved for results. */
 export function createLogger(program: string, format: LogFormat): Logger {
     if (format === "text") {
         return createConsola({ stdout: process.stderr, stderr: process.stderr, fancy: false }).withTag(program);
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,13 +1,13 @@
 import type { Reason } from "@radishreel/verdict";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Upper bounds of latency buckets, in seconds: from 1 ms to a minute. */
+/** Upper bounds of the latency buckets, in seconds: from 1 ms to 60 s. */
 const latencyBuckets = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 0.93, 3, 10, 30, 60];
 
-/** Upper bounds of the batch fullness buckets: shares of an engine's batch room. */
+/** Upper bounds of the batch fullness buckets, as shares of an engine's batch capacity. */
 const shareBuckets = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1];
 
-/** Metrics of `radishreel-gateway`. Names and labels are listed in docs/reference/metrics.md. */
+/** Metrics of `radishreel-gateway`. docs/reference/metrics.md lists their names and labels. */
 export class GatewayMetrics {
     readonly registry = new Registry();
     readonly requests = this.createCounter("requests_total", "Requests by customer class and verdict", [
@@ -59,12 +59,12 @@
         });
     }
 
-    /** Counts one refusal or final failure. */
+    /** Counts a request that was refused or finally failed. */
     recordRefusal(reason: Reason): void {
         this.refusals.inc({ reason });
     }
 
-    /** Counts one repeated attempt. */
+    /** Counts a retry. */
     recordRetry(reason: Reason): void {
         this.retries.inc({ reason });
     }
--- a/packages/telemetry/src/serve.ts
+++ b/packages/telemetry/src/serve.ts
@@ -6,14 +6,14 @@
 /** Options of {@link startMetricsServer}. */
 export interface MetricsServerOptions {
     readonly host: string;
-    /** 0 lets the system choose. */
+    /** TCP port; 0 lets the operating system choose a free one. */
     readonly port: number;
     readonly registry: Registry;
-    /** Whether the platform's balancer may send requests here. */
+    /** Whether the platform's load balancer may send requests to this process. */
     readonly isReady: () => boolean;
 }
 
-/** Serves `/metrics`, `/healthz` and `/readyz`, and says on which port. */
+/** Serves `/metrics`, `/healthz` and `/readyz` over HTTP and returns the port. */
 export async function startMetricsServer(options: MetricsServerOptions): Promise<{ server: Server; port: number; }> {
     const server = createServer();
     const app = polka({ server });
