--- a/packages/verdict/src/index.ts
+++ b/packages/verdict/src/index.ts
@@ -1,4 +1,4 @@
-/** How a request ended, whether it may have run, and how a caller is told. */
+/** Verdicts (outcomes of requests), their reasons and the problem documents that report them to callers. */
 export { createMayHaveRun, createNotRun, createRefused } from "./create.js";
 export { createProblem, type Problem, problemMediaType, problemTypePrefix } from "./problem.js";
 export { type Reason, reasons } from "./reasons.js";
--- a/packages/verdict/src/problem.ts
+++ b/packages/verdict/src/problem.ts
@@ -4,7 +4,7 @@
 /** Media type of {@link Problem}, from RFC 9457. */
 export const problemMediaType = "application/problem+json";
 
-/** Prefix of the `type` of every problem; the reason follows it. */
+/** Prefix of the `type` of every problem, before the reason. */
 export const problemTypePrefix = "urn:radishreel:problem:";
 
 /** A problem document (RFC 9457) with the verdict and the reason as extension members. */
@@ -14,12 +14,12 @@
     readonly status: number;
     readonly detail: string;
     readonly reason: Reason;
-    /** `not-run` means that no upstream ran the request; `may-have-run` that one may have. */
+    /** `not-run`: no upstream ran the request. `may-have-run`: an upstream may have run the request. */
     readonly verdict: "not-run" | "may-have-run";
     readonly retryAfterSeconds?: number;
 }
 
-/** Answer status by reason; a reason that is not listed answers 503. */
+/** HTTP status by reason; reasons that are not listed map to 503. */
 const statusByReason: Partial<Record<Reason, number>> = {
     unknownKey: 401,
     unknownAdapter: 404,
@@ -49,7 +49,7 @@
 
 const defaultStatus = 503;
 
-/** The problem document that tells a caller about `verdict`. */
+/** Creates the problem document that reports `verdict` to the caller. */
 export function createProblem(verdict: FailureVerdict): Problem {
     return {
         type: problemTypePrefix + verdict.reason,
--- a/packages/verdict/src/reasons.ts
+++ b/packages/verdict/src/reasons.ts
@@ -1,6 +1,6 @@
 /**
- * Every reason for which a request is refused, retried or given up.
- * Metrics are labelled with these words and with no others.
+ * Every reason for which a request is refused, is retried or fails.
+ * These are the only values of the label `reason` of metrics.
  */
 export const reasons = [
     // The request itself.
--- a/packages/verdict/src/types.ts
+++ b/packages/verdict/src/types.ts
@@ -1,27 +1,27 @@
 import type { Reason } from "./reasons.js";
 
-/** The whole answer reached the caller. */
+/** The caller received the complete response. */
 export interface CompleteVerdict {
     readonly kind: "complete";
 }
 
-/** No upstream ran the request, and none ever will on behalf of this attempt. */
+/** No upstream ran the request, and none will run it later because of this attempt. */
 export interface NotRunVerdict {
     readonly kind: "notRun";
     readonly reason: Reason;
     readonly detail: string;
 }
 
-/** Refused before anything was sent to an upstream; a kind of not-run that another attempt inside the system cannot help. */
+/** The request was refused before anything was sent to an upstream, and a retry inside the system cannot succeed. */
 export interface RefusedVerdict {
     readonly kind: "refused";
     readonly reason: Reason;
     readonly detail: string;
-    /** Seconds after which the caller may ask again; undefined where asking again cannot help. */
+    /** Seconds after which the caller may retry; undefined if a retry cannot succeed. */
     readonly retryAfterSeconds?: number;
 }
 
-/** An upstream may have acted on the request, and nobody can tell any more. */
+/** An upstream may have run the request; whether it did is unknown. */
 export interface MayHaveRunVerdict {
     readonly kind: "mayHaveRun";
     readonly reason: Reason;
@@ -29,8 +29,8 @@
     readonly retryAfterSeconds?: number;
 }
 
-/** How a request ended. */
+/** Outcome of a request or of one attempt. */
 export type Verdict = CompleteVerdict | NotRunVerdict | RefusedVerdict | MayHaveRunVerdict;
 
-/** Every verdict but a complete answer. */
+/** Any verdict except a complete response. */
 export type FailureVerdict = Exclude<Verdict, CompleteVerdict>;
