--- a/packages/cli/src/agent.ts
+++ b/packages/cli/src/agent.ts
@@ -3,7 +3,7 @@
 import { request } from "undici";
 import { z } from "zod";
 
-/** Longest wait for an agent's answer, in milliseconds; an apply waits for every node. */
+/** Longest wait for an agent's response, in milliseconds; an agent that receives an apply waits for all nodes. */
 const timeoutMs = 30_000;
 
 const inForceSchema = z.object({ version: z.number(), digest: z.string(), offerings: offeringsSchema });
@@ -15,7 +15,7 @@
     behind: z.array(z.string()),
 });
 
-const reportSchema = z.object({
+const applyReportSchema = z.object({
     result: z.discriminatedUnion("kind", [
         z.object({ kind: z.literal("accepted"), version: z.number() }),
         z.object({ kind: z.literal("void"), reason: z.string() }),
@@ -35,12 +35,12 @@
     progress: z.array(progressSchema),
 });
 
-/** What an agent says of an apply. */
-export type ApplyReport = z.infer<typeof reportSchema>;
-/** What an agent says of itself. */
+/** Response of an agent to an apply. */
+export type ApplyReport = z.infer<typeof applyReportSchema>;
+/** Status of an agent. */
 export type AgentStatus = z.infer<typeof statusSchema>;
 
-/** An apply as it is sent. */
+/** Body of an apply request. */
 export interface ApplyRequest {
     readonly applyId: string;
     readonly base: number;
@@ -49,13 +49,13 @@
     readonly change: Change;
 }
 
-/** Why an agent gave no usable answer. `isRefusal` means that it answered, and said no. */
+/** Why no usable response was received. `isRefusal`: an agent responded with a status other than 200. */
 export interface AgentError {
     readonly message: string;
     readonly isRefusal: boolean;
 }
 
-/** Asks agents' operator listeners; the first that answers counts. */
+/** Client of the agents' listeners for operators. Tries the addresses in order; the first response counts. */
 export class AgentClient {
     constructor(private readonly addresses: readonly string[], private readonly key: string) {}
 
@@ -67,9 +67,9 @@
         return this.ask("GET", "/operator/status", statusSchema);
     }
 
-    /** Safe to ask again, of any agent: the apply id tells one apply from another. */
+    /** Sends an apply. A retry, also to another agent, is safe: the apply id makes the request idempotent. */
     apply(apply: ApplyRequest): Promise<Result<ApplyReport, AgentError>> {
-        return this.ask("POST", "/operator/apply", reportSchema, {
+        return this.ask("POST", "/operator/apply", applyReportSchema, {
             ...apply,
             change: changeSchema.parse(apply.change),
         });
@@ -89,18 +89,18 @@
         schema: z.ZodType<Output>,
         body?: unknown,
     ): Promise<Result<Output, AgentError>> {
-        const failures = this.addresses.length === 0 ? ["no agent is given; expected --agent host:port"] : [];
+        const failures = this.addresses.length === 0 ? ["no agent was specified; use --agent host:port"] : [];
         for (const address of this.addresses) {
-            const answer = await this.askOne(address, method, path, schema, body);
-            if (answer.isOk() || answer.error.isRefusal) {
-                return answer;
+            const response = await this.askAgent(address, method, path, schema, body);
+            if (response.isOk() || response.error.isRefusal) {
+                return response;
             }
-            failures.push(`${address}: ${answer.error.message}`);
+            failures.push(`${address}: ${response.error.message}`);
         }
         return err({ message: failures.join("; "), isRefusal: false });
     }
 
-    private async askOne<Output>(
+    private async askAgent<Output>(
         address: string,
         method: "GET" | "POST",
         path: string,
@@ -108,15 +108,15 @@
         body: unknown,
     ): Promise<Result<Output, AgentError>> {
         try {
-            const answer = await request(`http://${address}${path}`, {
+            const response = await request(`http://${address}${path}`, {
                 method,
                 headers: { authorization: `Bearer ${this.key}` },
                 body: body === undefined ? undefined : JSON.stringify(body),
                 signal: AbortSignal.timeout(timeoutMs),
             });
-            const text = await answer.body.text();
-            if (answer.statusCode !== 200) {
-                return err({ message: `status ${answer.statusCode}: ${text.trim()}`, isRefusal: true });
+            const text = await response.body.text();
+            if (response.statusCode !== 200) {
+                return err({ message: `status ${response.statusCode}: ${text.trim()}`, isRefusal: true });
             }
             return ok(schema.parse(JSON.parse(text)));
         }
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -6,18 +6,18 @@
 import { type ExitCode, exitCodes } from "./exit.js";
 import { readOfferings } from "./files.js";
 
-/** Where a command writes; replaced in tests. */
+/** Output of a command; tests replace it. */
 export interface Output {
     /** Prints a result: `value` as JSON, or `text` for people. */
     print(value: unknown, text: string): void;
-    /** Prints what went wrong. */
+    /** Prints an error: `value` as JSON, or `text` for people. */
     fail(value: unknown, text: string): void;
 }
 
-/** Tries of an apply whose answer is lost. */
-const applyTries = 3;
+/** Maximum attempts to send an apply; an attempt is repeated only if no agent gave a usable response. */
+const maxApplyAttempts = 3;
 
-/** Reads and checks files. */
+/** Reads and validates files. */
 export async function runCheck(files: readonly string[], output: Output): Promise<ExitCode> {
     const offerings = await readFiles(files, output);
     if (offerings === undefined) {
@@ -46,13 +46,13 @@
 /** Options of {@link runApply}. */
 export interface ApplyOptions {
     readonly files: readonly string[];
-    /** Names the apply; give the same one to ask again what became of it. */
+    /** Id of the apply; a second apply with the same id asks for the outcome of the first. */
     readonly applyId?: string;
-    /** Version that the files were made against. @default the one in force now */
+    /** Version that the files are based on. @default the version in force */
     readonly base?: number;
 }
 
-/** Puts files in force as a whole, and tells where they are. */
+/** Puts the contents of files in force, all or nothing, and prints which nodes have them. */
 export async function runApply(options: ApplyOptions, client: AgentClient, output: Output): Promise<ExitCode> {
     const prepared = await prepareChange(options.files, client, output);
     if (typeof prepared === "number") {
@@ -63,30 +63,30 @@
     if (base !== version) {
         output.fail(
             { outcome: "lostRace", version },
-            `not in force: version ${version} is in force, not ${base}; look at diff and apply again`,
+            `not in force: version ${version} is in force, the files are based on ${base}; run diff, then apply again`,
         );
         return exitCodes.lostRace;
     }
     if (isEmpty(change)) {
-        output.print({ outcome: "unchanged", version }, `nothing to change: version ${version} is in force`);
+        output.print({ outcome: "unchanged", version }, `no difference from version ${version}, which is in force`);
         return exitCodes.done;
     }
     const applyId = options.applyId ?? randomUUID();
     const report = await sendApply(client, { applyId, base, digest, author: userInfo().username, change });
-    return "result" in report ? printReport(report, applyId, output) : printLost(report, applyId, output);
+    return "result" in report ? printReport(report, applyId, output) : printFailure(report, applyId, output);
 }
 
 async function sendApply(
     client: AgentClient,
     apply: Parameters<AgentClient["apply"]>[0],
 ): Promise<ApplyReport | AgentError> {
-    let failure: AgentError = { message: "no agent was asked", isRefusal: false };
-    for (let tries = 0; tries < applyTries; tries++) {
-        const answer = await client.apply(apply);
-        if (answer.isOk()) {
-            return answer.value;
+    let failure: AgentError = { message: "the apply was not sent to any agent", isRefusal: false };
+    for (let attempt = 0; attempt < maxApplyAttempts; attempt++) {
+        const response = await client.apply(apply);
+        if (response.isOk()) {
+            return response.value;
         }
-        failure = answer.error;
+        failure = response.error;
         if (failure.isRefusal) {
             return failure;
         }
@@ -94,14 +94,14 @@
     return failure;
 }
 
-function printLost(failure: AgentError, applyId: string, output: Output): ExitCode {
+function printFailure(failure: AgentError, applyId: string, output: Output): ExitCode {
     if (failure.isRefusal) {
         output.fail({ outcome: "refused", message: failure.message }, `not in force: ${failure.message}`);
         return exitCodes.notInForce;
     }
     output.fail(
         { outcome: "unknown", applyId, message: failure.message },
-        `cannot tell whether it is in force: ${failure.message}\nask again with --apply-id ${applyId}`,
+        `unknown whether the change is in force: ${failure.message}\nrun apply again with --apply-id ${applyId}`,
     );
     return exitCodes.unknown;
 }
@@ -110,12 +110,12 @@
     const { result, progress, behind } = report;
     switch (result.kind) {
         case "accepted": {
-            const where = progress.map(({ dataCentre, nodes, lowestVersion }) =>
+            const progressLines = progress.map(({ dataCentre, nodes, lowestVersion }) =>
                 `${dataCentre}: ${nodes} nodes at ${lowestVersion} or later`
             );
-            const lines = [`in force: version ${result.version}`, ...where];
+            const lines = [`in force: version ${result.version}`, ...progressLines];
             if (behind.length > 0) {
-                lines.push(`not known to be everywhere yet in: ${behind.join(", ")}`);
+                lines.push(`not yet confirmed by all nodes of: ${behind.join(", ")}`);
             }
             output.print({ outcome: "inForce", version: result.version, progress, behind }, lines.join("\n"));
             return behind.length > 0 ? exitCodes.behind : exitCodes.done;
@@ -123,7 +123,7 @@
         case "void":
             output.fail(
                 { outcome: "lostRace", reason: result.reason },
-                `not in force: another apply came first (${result.reason}); look at diff and apply again`,
+                `not in force: another apply came first (${result.reason}); run diff, then apply again`,
             );
             return exitCodes.lostRace;
         case "notInForce":
@@ -132,13 +132,13 @@
         case "unknown":
             output.fail(
                 { outcome: "unknown", applyId, message: result.message },
-                `cannot tell whether it is in force: ${result.message}\nask again with --apply-id ${applyId}`,
+                `unknown whether the change is in force: ${result.message}\nrun apply again with --apply-id ${applyId}`,
             );
             return exitCodes.unknown;
     }
 }
 
-/** Shows the nodes and the version in force. */
+/** Prints the version in force and the progress of the nodes of each data centre. */
 export async function runStatus(client: AgentClient, output: Output): Promise<ExitCode> {
     const status = await client.readStatus();
     if (status.isErr()) {
@@ -146,7 +146,7 @@
     }
     const { id, dataCentre, version, isKnown, isLogReachable, progress } = status.value;
     const lines = [
-        `agent ${id} in ${dataCentre}: ${isKnown ? `version ${version} in force` : "knows no offerings"}`,
+        `agent ${id} in ${dataCentre}: ${isKnown ? `version ${version} in force` : "has no offerings"}`,
         `log: ${isLogReachable ? "reachable" : "not reachable"}`,
         ...progress.map(entry =>
             `${entry.dataCentre}: ${entry.nodes} nodes at ${entry.lowestVersion} or later${formatBehind(entry.behind)}`
@@ -156,7 +156,7 @@
     return exitCodes.done;
 }
 
-/** Shows why a model is where it is. */
+/** Prints on which engines a model is and what its next load waits for. */
 export async function runExplain(model: string, client: AgentClient, output: Output): Promise<ExitCode> {
     const explanation = await client.explain(model);
     if (explanation.isErr()) {
@@ -166,13 +166,13 @@
     return exitCodes.done;
 }
 
-/** Takes an upstream out of service: it gets nothing new. */
+/** Takes an upstream out of service: the upstream receives no new work. */
 export async function runDrain(upstream: string, client: AgentClient, output: Output): Promise<ExitCode> {
-    const answer = await client.drain(upstream);
-    if (answer.isErr()) {
-        return failUnreachable(answer.error, output);
+    const response = await client.drain(upstream);
+    if (response.isErr()) {
+        return failUnreachable(response.error, output);
     }
-    output.print(answer.value, `${upstream} is leaving: it gets nothing new`);
+    output.print(response.value, `${upstream} is leaving and receives no new work`);
     return exitCodes.done;
 }
 
@@ -200,7 +200,7 @@
     return { version: inForce.value.version, change, digest: state.readDigestAfter(change) };
 }
 
-/** Before the first apply nothing is in force, not even a policy. */
+/** Creates the state in force; before the first apply it is empty and has no policy. */
 function createState(offerings: Offerings, version: number): OfferingsState {
     const state = new OfferingsState();
     if (version >= 0) {
--- a/packages/cli/src/exit.ts
+++ b/packages/cli/src/exit.ts
@@ -1,20 +1,20 @@
-/** Exit codes of `radishreel`; they are listed in docs/reference/command-line.md. */
+/** Exit codes of `radishreel`, listed in docs/reference/command-line.md. */
 export const exitCodes = {
     done: 0,
     /** The files have mistakes, or `diff` found differences. */
     mistakes: 1,
     usage: 2,
-    /** Another apply was in force first. */
+    /** A concurrent apply came into force first. */
     lostRace: 3,
     /** The change is not in force. */
     notInForce: 4,
-    /** It cannot be told whether the change is in force. */
+    /** Whether the change is in force is unknown. */
     unknown: 5,
-    /** The change is in force, but not every node is known to have it. */
+    /** The change is in force, but not all nodes have confirmed it. */
     behind: 6,
-    /** No agent answered. */
+    /** No agent responded. */
     unreachable: 7,
-    /** No line of the logs names the request. */
+    /** No log line mentions the request. */
     notFound: 8,
 } as const;
 
--- a/packages/cli/src/files.ts
+++ b/packages/cli/src/files.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Reads files and directories of offerings and merges them into one whole.
- * @returns The whole, or every mistake in every file.
+ * Reads files and directories of offerings and merges their contents.
+ * @returns The merged offerings, or all mistakes of all files.
  */
 export async function readOfferings(targets: readonly string[]): Promise<Result<Offerings, FileMistake[]>> {
     const mistakes: FileMistake[] = [];
@@ -45,7 +45,7 @@
             mergeSections(file, read.value, merged, mistakes);
             if (read.value.policy !== undefined && policyFile !== undefined) {
                 mistakes.push(
-                    createMistake(file, "policy", `the policy is given in ${policyFile} already; give it once`),
+                    createMistake(file, "policy", `the policy is already defined in ${policyFile}; define it once`),
                 );
             }
             policyFile = read.value.policy === undefined ? policyFile : file;
@@ -60,7 +60,7 @@
     return mistakes.length === 0 ? ok(offerings) : err(mistakes);
 }
 
-/** A file may hold any part of the whole; a policy that is left out is not the default one yet. */
+/** A file may hold any part of the offerings. The policy has no default here, so that a missing one is recognised. */
 const offeringsFileSchema = offeringsSchema.extend({ policy: offeringsSchema.shape.policy.unwrap().optional() });
 
 type OfferingsPart = Omit<Offerings, "policy"> & { policy?: Offerings["policy"]; };
@@ -69,7 +69,9 @@
     for (const section of ["customers", "adapters", "services"] as const) {
         for (const [name, value] of Object.entries(part[section])) {
             if (merged[section][name] !== undefined) {
-                mistakes.push(createMistake(file, `${section}.${name}`, "given in another file too; give it once"));
+                mistakes.push(
+                    createMistake(file, `${section}.${name}`, "also defined in another file; define it once"),
+                );
             }
             setEntry(merged[section], name, value);
         }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** radishreel: the operators' command line. */
+/** radishreel: command-line tool for operators. */
 import yargs, { type Argv } from "yargs";
 import { hideBin } from "yargs/helpers";
 import { AgentClient } from "./agent.js";
@@ -30,7 +30,7 @@
     return new AgentClient(agent, key);
 }
 
-function finish(code: ExitCode): void {
+function setExitCode(code: ExitCode): void {
     process.exitCode = code;
 }
 
@@ -39,7 +39,7 @@
         type: "string",
         array: true,
         demandOption: true,
-        describe: "Files of JSON with comments, or directories of them; together they are the whole",
+        describe: "Files of JSON with comments, or directories of them; together they hold the complete offerings",
     });
 }
 
@@ -51,31 +51,39 @@
         array: true,
         nargs: 1,
         default: [] as string[],
-        describe: "host:port of an agent's listener for operators; the first that answers is used",
+        describe:
+            "host:port of an agent's listener for operators; may be repeated, the first agent that responds is used",
+    })
+    .option("key", {
+        type: "string",
+        default: "",
+        describe: "Operator's key; preferably set as the environment variable RADISHREEL_KEY",
     })
-    .option("key", { type: "string", default: "", describe: "Operator's key; better given as RADISHREEL_KEY" })
     .option("json", { type: "boolean", default: false, describe: "Print JSON" })
     .command(
         "check <files..>",
-        "Check files without asking an agent",
+        "Check files without contacting an agent",
         command => addFiles(command),
-        async args => finish(await runCheck(args.files, createOutput(args.json))),
+        async args => setExitCode(await runCheck(args.files, createOutput(args.json))),
     )
     .command(
         "diff <files..>",
-        "Show what an apply would change; exits with 1 if anything",
+        "Show what an apply would change; exits with 1 if there are differences",
         command => addFiles(command),
-        async args => finish(await runDiff(args.files, createClient(args), createOutput(args.json))),
+        async args => setExitCode(await runDiff(args.files, createClient(args), createOutput(args.json))),
     )
     .command(
         "apply <files..>",
-        "Put files in force, whole or not at all",
+        "Put the contents of files in force, all or nothing",
         command =>
             addFiles(command)
-                .option("apply-id", { type: "string", describe: "Name of an apply, to ask again what became of it" })
-                .option("base", { type: "number", describe: "Version that the files were made against" }),
+                .option("apply-id", {
+                    type: "string",
+                    describe: "Id of the apply; the id of an earlier apply asks for its outcome",
+                })
+                .option("base", { type: "number", describe: "Version that the files are based on" }),
         async args =>
-            finish(
+            setExitCode(
                 await runApply(
                     { files: args.files, applyId: args.applyId, base: args.base },
                     createClient(args),
@@ -85,39 +93,39 @@
     )
     .command(
         "status",
-        "Show the version in force and the nodes",
+        "Show the version in force and the progress of the nodes",
         command => command,
-        async args => finish(await runStatus(createClient(args), createOutput(args.json))),
+        async args => setExitCode(await runStatus(createClient(args), createOutput(args.json))),
     )
     .command(
         "explain <model>",
-        "Show where adapter@version is and what its next load waits for",
+        "Show on which engines adapter@version is and what its next load waits for",
         command => command.positional("model", { type: "string", demandOption: true }),
-        async args => finish(await runExplain(args.model, createClient(args), createOutput(args.json))),
+        async args => setExitCode(await runExplain(args.model, createClient(args), createOutput(args.json))),
     )
     .command(
         "drain <upstream>",
         "Take an upstream out of service",
         command => command.positional("upstream", { type: "string", demandOption: true }),
-        async args => finish(await runDrain(args.upstream, createClient(args), createOutput(args.json))),
+        async args => setExitCode(await runDrain(args.upstream, createClient(args), createOutput(args.json))),
     )
     .command(
         "trace <request> [files..]",
-        "Show the story of one request from decision lines",
+        "Show the log lines that concern one request, from all VMs, sorted by time",
         command =>
             command
                 .positional("request", {
                     type: "string",
                     demandOption: true,
-                    describe: "Id of one attempt of a caller",
+                    describe: "Id of the request; each attempt of a caller has its own",
                 })
                 .positional("files", {
                     type: "string",
                     array: true,
                     default: [],
-                    describe: "Logs; none: standard input",
+                    describe: "Log files; default: standard input",
                 }),
-        async args => finish(await runTrace(args.request, args.files, createOutput(args.json))),
+        async args => setExitCode(await runTrace(args.request, args.files, createOutput(args.json))),
     )
     .completion("completion", "Print a script for shell completion")
     .demandCommand(1)
--- a/packages/cli/src/trace.ts
+++ b/packages/cli/src/trace.ts
@@ -5,7 +5,7 @@
 import type { Output } from "./commands.js";
 import { type ExitCode, exitCodes } from "./exit.js";
 
-/** Events of an engine or an upstream that explain what a request met there. */
+/** Events of an engine or another upstream that may have affected its requests. */
 const upstreamEvents = new Set([
     "order",
     "engineClaimed",
@@ -15,13 +15,13 @@
     "upstreamGone",
 ]);
 
-/** How long before a request's start such events are shown, in milliseconds: a load or a change of owner takes less. */
+/** Upstream events are shown from this long before a request's start, in ms: a load or a change of owner takes less. */
 const lookBackMs = 3000;
 
-/** Most of them kept while the request's own lines are still being read: some minutes of ten VMs. */
-const maxKeptLines = 200_000;
+/** Most upstream events buffered until all lines of the request are read: what 10 VMs log in some minutes. */
+const maxBufferedLines = 200_000;
 
-/** A decision line; what is left of its fields depends on the event. */
+/** A decision line: a JSON log line of an event on a VM. Its other fields depend on the event. */
 const lineSchema = z.looseObject({
     at: z.iso.datetime(),
     vm: z.string(),
@@ -30,16 +30,16 @@
     engine: z.string().optional(),
     upstream: z.string().optional(),
     adapter: z.string().optional(),
-    /** MODEL/ADAPTER of an adapter that is waited for. */
+    /** `MODEL/ADAPTER` of an adapter that the request waits for. */
     key: z.string().optional(),
-    /** Time that what the line tells took, in milliseconds. */
+    /** Duration of the logged operation, in milliseconds. */
     ms: z.number().optional(),
 });
 
 /** See {@link lineSchema}. */
 export type DecisionLine = z.infer<typeof lineSchema>;
 
-/** Reads one line of a log, whatever stands before its JSON; undefined if it is no decision line. */
+/** Parses a log line, ignoring any text before its JSON; undefined if it is not a decision line. */
 export function parseDecisionLine(text: string): DecisionLine | undefined {
     const start = text.indexOf("{");
     if (start < 0) {
@@ -49,49 +49,49 @@
         return lineSchema.safeParse(JSON.parse(text.slice(start))).data;
     }
     catch {
-        // Other programs' lines, and lines that were cut, may stand in the same file.
+        // A log file may also contain truncated lines and lines of other programs.
         return undefined;
     }
 }
 
-/** Collects what touched one request, from the lines of all VMs in any order. */
+/** Collects the lines that concern one request. Lines of all VMs may be added in any order. */
 export class RequestTrace {
-    private readonly own: DecisionLine[] = [];
-    private readonly others: DecisionLine[] = [];
+    private readonly requestLines: DecisionLine[] = [];
+    private readonly upstreamLines: DecisionLine[] = [];
 
     constructor(private readonly request: string) {}
 
     add(line: DecisionLine): void {
         if (line.request === this.request) {
-            this.own.push(line);
+            this.requestLines.push(line);
         }
         else if (upstreamEvents.has(line.event)) {
-            this.others.push(line);
-            if (this.others.length > maxKeptLines) {
-                this.others.shift();
+            this.upstreamLines.push(line);
+            if (this.upstreamLines.length > maxBufferedLines) {
+                this.upstreamLines.shift();
             }
         }
     }
 
     /**
-     * The request's own lines, and what happened meanwhile to the engines and upstreams that it met: orders only for its
-     * adapter. By time; empty if no line names the request.
+     * Lists the lines of the request and the concurrent events of the engines and upstreams that handled it; orders
+     * only for its adapter. Sorted by time; empty if no line has the request's id.
      */
     list(): DecisionLine[] {
-        const startedAt = Math.min(...this.own.map(readStart)) - lookBackMs;
-        const endedAt = Math.max(...this.own.map(line => Date.parse(line.at)));
-        const met = new Set(this.own.flatMap(line => [line.engine, line.upstream]));
-        const adapters = new Set(this.own.map(line => line.adapter ?? line.key?.split("/")[1]));
-        const related = this.others.filter(line => {
+        const startedAt = Math.min(...this.requestLines.map(readStart)) - lookBackMs;
+        const endedAt = Math.max(...this.requestLines.map(line => Date.parse(line.at)));
+        const usedUpstreams = new Set(this.requestLines.flatMap(line => [line.engine, line.upstream]));
+        const adapters = new Set(this.requestLines.map(line => line.adapter ?? line.key?.split("/")[1]));
+        const related = this.upstreamLines.filter(line => {
             const at = Date.parse(line.at);
-            const isMet = met.has(line.engine ?? line.upstream ?? "");
-            return isMet && at >= startedAt && at <= endedAt && (line.event !== "order" || adapters.has(line.adapter));
+            const isUsed = usedUpstreams.has(line.engine ?? line.upstream ?? "");
+            return isUsed && at >= startedAt && at <= endedAt && (line.event !== "order" || adapters.has(line.adapter));
         });
-        return [...this.own, ...related].sort((left, right) => Date.parse(left.at) - Date.parse(right.at));
+        return [...this.requestLines, ...related].sort((left, right) => Date.parse(left.at) - Date.parse(right.at));
     }
 }
 
-/** Prints the story of one request from files, or from standard input where none is named. */
+/** Prints the lines that concern one request, from log files or, if none are specified, from standard input. */
 export async function runTrace(request: string, files: readonly string[], output: Output): Promise<ExitCode> {
     const trace = new RequestTrace(request);
     const inputs = files.length === 0 ? [process.stdin] : files.map(file => createReadStream(file));
@@ -107,7 +107,10 @@
     }
     const lines = trace.list();
     if (lines.length === 0) {
-        output.fail({ request, lines }, `no line names request ${request}: gather the logs of all VMs of its time`);
+        output.fail(
+            { request, lines },
+            `no log line has the request id ${request}; pass the logs of all VMs from the time of the request`,
+        );
         return exitCodes.notFound;
     }
     output.print({ request, lines }, formatTrace(lines));
@@ -123,18 +126,18 @@
     }
 }
 
-/** When what a line tells began, in milliseconds. */
+/** Start time of the operation that a line logs, in milliseconds. */
 function readStart(line: DecisionLine): number {
     return Date.parse(line.at) - (line.ms ?? 0);
 }
 
-/** One line each: time since the first one, VM, event and the other fields. */
+/** Formats each entry as one line: time since the first entry, VM, event and the other fields. */
 function formatTrace(lines: readonly DecisionLine[]): string {
-    const first = Date.parse(lines[0]!.at);
+    const firstMs = Date.parse(lines[0]!.at);
     return lines.map(({ at, vm, event, ...fields }) => {
-        const shown = Object.entries(fields)
+        const fieldTexts = Object.entries(fields)
             .filter(([name]) => name !== "program" && name !== "request")
             .map(([name, value]) => `${name}=${typeof value === "string" ? value : JSON.stringify(value)}`);
-        return [`+${Date.parse(at) - first} ms`, vm, event, ...shown].join("  ");
+        return [`+${Date.parse(at) - firstMs} ms`, vm, event, ...fieldTexts].join("  ");
     }).join("\n");
 }
--- a/packages/cli/test/trace.test.ts
+++ b/packages/cli/test/trace.test.ts
@@ -27,7 +27,7 @@
     createLine(9000, "b", "upstreamGone", { upstream: "e1" }),
 ];
 
-test("a request's story holds its own lines and what its engine did meanwhile, over two VMs and by time", () => {
+test("a trace has the request's lines and its engine's concurrent events, from two VMs and in order of time", () => {
     const trace = new RequestTrace("r1");
     for (const text of [...secondVm, ...firstVm]) {
         const line = parseDecisionLine(text);
@@ -44,13 +44,13 @@
     ]);
 });
 
-test("lines that are no decision lines are passed over", () => {
+test("a line that is not a decision line is parsed as undefined", () => {
     for (const text of ["", "{", "{}", "[1]", "plain text", "{\"event\":\"x\"}"]) {
         assert.is(parseDecisionLine(text), undefined);
     }
 });
 
-test("the story is read from several files, and a request that no line names is told by its exit code", async () => {
+test("a trace is read from several files; exit codes report an unknown request and an unreadable file", async () => {
     const directory = await mkdtemp(path.join(tmpdir(), "radishreel-trace-"));
     const files = [path.join(directory, "a.log"), path.join(directory, "b.log")];
     await writeFile(files[0]!, firstVm.join("\n"));
