--- a/packages/load/bin/radishreel-load.mjs
+++ b/packages/load/bin/radishreel-load.mjs
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Committed, so that it can be linked before the build.
+// Committed to the repository, so that npm can link it before the build.
 import "../dist/src/main.js";
--- a/packages/load/src/compare.ts
+++ b/packages/load/src/compare.ts
@@ -1,6 +1,6 @@
 import type { LoadResult } from "./result.js";
 
-/** One measure of two runs. */
+/** One measure of two results. */
 export interface Comparison {
     readonly measure: string;
     readonly left: number;
@@ -23,7 +23,7 @@
     return measures;
 }
 
-/** Every measure of two runs, with its ratio. */
+/** Lists every measure of two results and its ratio. */
 export function compareResults(left: LoadResult, right: LoadResult): Comparison[] {
     const rightMeasures = listMeasures(right);
     return Object.entries(listMeasures(left)).map(([measure, value]) => {
@@ -32,7 +32,7 @@
     });
 }
 
-/** A table for people. */
+/** Formats comparisons as a table of measure, left value, right value and ratio. */
 export function formatComparison(comparisons: readonly Comparison[]): string {
     return comparisons
         .map(({ measure, left, right, ratio }) =>
--- a/packages/load/src/index.ts
+++ b/packages/load/src/index.ts
@@ -1,4 +1,4 @@
-/** Open-loop load and its results. */
+/** Open-loop load generator and its results. */
 export { type Arrival, createArrivals } from "./arrivals.js";
 export { compareResults, type Comparison, formatComparison } from "./compare.js";
 export { isLoopback, type LoadOptions } from "./options.js";
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** radishreel-load: open-loop load, and the comparison of two runs. */
+/** radishreel-load: open-loop load generator and comparison of two results. */
 import { SingleBar } from "cli-progress";
 import { readFile, writeFile } from "node:fs/promises";
 import yargs from "yargs";
@@ -18,7 +18,7 @@
     .scriptName("radishreel-load")
     .command(
         "run",
-        "Send requests at their times, whether or not those before were answered",
+        "Send requests at scheduled times, whether or not earlier requests have finished",
         command =>
             command
                 .option("target", {
@@ -33,32 +33,38 @@
                     array: true,
                     demandOption: true,
                     nargs: 1,
-                    describe: "adapter@version, the most popular first",
+                    describe: "adapter@version; repeat in order of popularity, the most popular first",
                 })
                 .option("seconds", { type: "number", default: 10 })
-                .option("paying-rate", { type: "number", default: 10, describe: "Requests a second" })
+                .option("paying-rate", { type: "number", default: 10, describe: "Paying requests per second" })
                 .option("trial-rate", { type: "number", default: 0 })
                 .option("paying-key", { type: "string", default: "paying-key" })
                 .option("trial-key", { type: "string", default: "trial-key" })
                 .option("zipf", { type: "number", default: 1 })
-                .option("shift-seconds", { type: "number", describe: "Draw popularity anew after so long" })
+                .option("shift-seconds", {
+                    type: "number",
+                    describe: "Interval after which the popularity of the models changes",
+                })
                 .option("burst", { type: "number", default: 1, describe: "Requests that arrive together" })
                 .option("stream-share", { type: "number", default: 1 })
                 .option("max-tokens", { type: "number", default: 16 })
                 .option("deadline-ms", { type: "number", default: 10_000 })
-                .option("once-call", { type: "string", describe: "Path of a call that must not run twice" })
+                .option("once-call", {
+                    type: "string",
+                    describe: "Path of a non-idempotent call, sent with a request token",
+                })
                 .option("once-share", { type: "number", default: 0 })
                 .option("seed", { type: "number", default: 1 })
                 .option("out", { type: "string", describe: "File for the result as JSON" })
-                .option("plot", { type: "string", describe: "File for a page with plots" })
+                .option("plot", { type: "string", describe: "File for an HTML page with plots" })
                 .option("allow-remote", {
                     type: "boolean",
                     default: false,
-                    describe: "Send to addresses off this machine too",
+                    describe: "Also send to other hosts than this one",
                 }),
         async args => {
             if (!args.allowRemote && !args.target.every(isLoopback)) {
-                process.stderr.write("only addresses on this machine are loaded unless --allow-remote is given\n");
+                process.stderr.write("every --target must be a loopback address unless --allow-remote is set\n");
                 process.exitCode = 2;
                 return;
             }
@@ -86,7 +92,7 @@
     )
     .command(
         "compare <left> <right>",
-        "Print every measure of two results, and its ratio",
+        "Print every measure of two results and its ratio",
         command =>
             command
                 .positional("left", { type: "string", demandOption: true })
--- a/packages/load/src/result.ts
+++ b/packages/load/src/result.ts
@@ -1,16 +1,16 @@
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Figures of one class. Times in milliseconds, counted from when a request should have been sent. */
+/** Results of one class of requests. Times in milliseconds, from the scheduled time of a request. */
 export interface ClassResult {
     readonly sent: number;
     readonly complete: number;
-    /** Answers by problem reason, or by status, or `broken`. */
+    /** Failed requests by problem reason, HTTP status, `truncated`, code of the connection error, or `broken`. */
     readonly failures: Record<string, number>;
     readonly firstByte: Percentiles;
     readonly whole: Percentiles;
 }
 
-/** Percentiles of one measure. */
+/** Percentiles of one measure, in milliseconds. */
 export interface Percentiles {
     readonly p50: number;
     readonly p95: number;
@@ -18,7 +18,7 @@
     readonly max: number;
 }
 
-/** One second of a run, for plots. */
+/** Results of one second of a run, for plots. */
 export interface SecondResult {
     readonly second: number;
     readonly complete: number;
@@ -26,7 +26,7 @@
     readonly firstByteP95: number;
 }
 
-/** What a run writes. */
+/** Result of a run. */
 export interface LoadResult {
     readonly durationSeconds: number;
     readonly bytes: number;
@@ -36,23 +36,23 @@
     readonly seconds: readonly SecondResult[];
 }
 
-/** Microseconds in a millisecond: histograms hold whole microseconds. */
-const scale = 1000;
+/** Histograms record whole microseconds. */
+const microsecondsPerMs = 1000;
 
 function createHistogram(): Histogram {
     return build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: 3_600_000 * scale,
+        highestTrackableValue: 3_600_000 * microsecondsPerMs,
         numberOfSignificantValueDigits: 3,
     });
 }
 
 function readPercentiles(histogram: Histogram): Percentiles {
-    const read = (percentile: number): number => histogram.getValueAtPercentile(percentile) / scale;
-    return { p50: read(50), p95: read(95), p99: read(99), max: histogram.maxValue / scale };
+    const read = (percentile: number): number => histogram.getValueAtPercentile(percentile) / microsecondsPerMs;
+    return { p50: read(50), p95: read(95), p99: read(99), max: histogram.maxValue / microsecondsPerMs };
 }
 
-/** Collects one class's requests. */
+/** Collects the results of one class of requests. */
 export class ClassRecorder {
     private sent = 0;
     private complete = 0;
@@ -66,8 +66,8 @@
 
     recordComplete(firstByteMs: number, wholeMs: number): void {
         this.complete++;
-        this.firstByte.recordValue(Math.round(firstByteMs * scale));
-        this.whole.recordValue(Math.round(wholeMs * scale));
+        this.firstByte.recordValue(Math.round(firstByteMs * microsecondsPerMs));
+        this.whole.recordValue(Math.round(wholeMs * microsecondsPerMs));
     }
 
     recordFailure(reason: string): void {
@@ -85,14 +85,14 @@
     }
 }
 
-/** Collects figures second by second. */
+/** Collects results for each second of a run, by the scheduled time of the requests. */
 export class SecondRecorder {
     private readonly seconds: { complete: number; failed: number; firstByte: Histogram; }[] = [];
 
     recordComplete(atMs: number, firstByteMs: number): void {
         const second = this.findSecond(atMs);
         second.complete++;
-        second.firstByte.recordValue(Math.round(firstByteMs * scale));
+        second.firstByte.recordValue(Math.round(firstByteMs * microsecondsPerMs));
     }
 
     recordFailure(atMs: number): void {
--- a/packages/load/src/run.ts
+++ b/packages/load/src/run.ts
@@ -4,12 +4,12 @@
 import { type LoadOptions, maxDurationSeconds, maxRequests } from "./options.js";
 import { ClassRecorder, type LoadResult, SecondRecorder } from "./result.js";
 
-const endMark = "data: [DONE]";
+const streamEndMarker = "data: [DONE]";
 
-/** Bytes of a stream's end that are looked at for its end mark. */
-const tailLength = 64;
+/** Size of the end of a response in which the end marker is searched, in bytes. */
+const tailBytes = 64;
 
-/** Sends a run's requests at their times and collects what comes of them. */
+/** Sends the requests of a run at their scheduled times and collects the results. */
 export class LoadRun {
     private readonly agent = new Agent({ pipelining: 1 });
     private readonly recorders = { paying: new ClassRecorder(), trial: new ClassRecorder() };
@@ -17,9 +17,9 @@
     private startedAt = 0;
     private bytes = 0;
     private events = 0;
-    private count = 0;
+    private sentCount = 0;
 
-    /** @param onProgress Called with the requests sent so far and all of them. */
+    /** @param onProgress Called after each sent request with the number sent and the total. */
     constructor(
         private readonly options: LoadOptions,
         private readonly onProgress: (sent: number, total: number) => void,
@@ -28,16 +28,16 @@
     async run(): Promise<LoadResult> {
         const arrivals = this.checkBounds(createArrivals(this.options));
         this.startedAt = performance.now();
-        const open: Promise<void>[] = [];
+        const pending: Promise<void>[] = [];
         for (const arrival of arrivals) {
             const waitMs = this.startedAt + arrival.at - performance.now();
             if (waitMs > 1) {
                 await sleep(waitMs);
             }
-            open.push(this.send(arrival));
-            this.onProgress(open.length, arrivals.length);
+            pending.push(this.send(arrival));
+            this.onProgress(pending.length, arrivals.length);
         }
-        await Promise.all(open);
+        await Promise.all(pending);
         const durationSeconds = (performance.now() - this.startedAt) / 1000;
         await this.agent.close();
         return {
@@ -53,7 +53,7 @@
     private checkBounds(arrivals: Arrival[]): Arrival[] {
         if (arrivals.length > maxRequests || this.options.durationSeconds > maxDurationSeconds) {
             throw new Error(
-                `a run has at most ${maxRequests} requests and ${maxDurationSeconds} s; this one would have ${arrivals.length}`,
+                `a run is limited to ${maxRequests} requests and ${maxDurationSeconds} s; this one has ${arrivals.length} requests`,
             );
         }
         return arrivals;
@@ -62,7 +62,7 @@
     private async send(arrival: Arrival): Promise<void> {
         const recorder = this.recorders[arrival.customerClass];
         recorder.recordSent();
-        const target = this.options.targets[this.count++ % this.options.targets.length]!;
+        const target = this.options.targets[this.sentCount++ % this.options.targets.length]!;
         try {
             await (arrival.kind === "once" ? this.sendOnce(target, arrival) : this.sendCompletion(target, arrival));
         }
@@ -92,7 +92,7 @@
         await this.sendRequest(target, "/v1/chat/completions", arrival, this.createHeaders(arrival), body);
     }
 
-    /** A call that must not run twice: a token first, then the call. */
+    /** Obtains a request token, then sends the non-idempotent call with it. */
     private async sendOnce(target: string, arrival: Arrival): Promise<void> {
         const headers = this.createHeaders(arrival);
         const issued = await request(`http://${target}/v1/request-tokens`, {
@@ -112,10 +112,10 @@
         headers: Record<string, string>,
         body: string,
     ): Promise<void> {
-        // Counted from when it should have been sent, so that a slow answer does not hide those behind it.
+        // Latency counts from the scheduled time, so that a slow response does not hide the delay of later requests.
         const dueAt = this.startedAt + arrival.at;
         const recorder = this.recorders[arrival.customerClass];
-        const answer = await request(`http://${target}${path}`, {
+        const response = await request(`http://${target}${path}`, {
             dispatcher: this.agent,
             method: "POST",
             headers,
@@ -123,19 +123,19 @@
         });
         let firstByteMs: number | undefined;
         let tail = "";
-        for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+        for await (const chunk of response.body as AsyncIterable<Buffer>) {
             firstByteMs ??= performance.now() - dueAt;
             this.bytes += chunk.length;
             this.events++;
-            tail = (tail + chunk.toString("latin1")).slice(answer.statusCode === 200 ? -tailLength : 0);
+            tail = (tail + chunk.toString("latin1")).slice(response.statusCode === 200 ? -tailBytes : 0);
         }
-        const isWhole = arrival.kind === "once" || !arrival.isStream || tail.includes(endMark);
-        if (answer.statusCode === 200 && isWhole) {
+        const isComplete = arrival.kind === "once" || !arrival.isStream || tail.includes(streamEndMarker);
+        if (response.statusCode === 200 && isComplete) {
             recorder.recordComplete(firstByteMs ?? 0, performance.now() - dueAt);
             this.seconds.recordComplete(arrival.at, firstByteMs ?? 0);
             return;
         }
-        recorder.recordFailure(answer.statusCode === 200 ? "truncated" : readReason(tail, answer.statusCode));
+        recorder.recordFailure(response.statusCode === 200 ? "truncated" : readReason(tail, response.statusCode));
         this.seconds.recordFailure(arrival.at);
     }
 }
--- a/packages/load/test/load.test.ts
+++ b/packages/load/test/load.test.ts
@@ -22,7 +22,7 @@
     onceShare: 0,
 };
 
-test("arrivals are the same for the same seed, and as many and as skewed as asked for", () => {
+test("arrivals are equal for equal seeds, and their rate and popularity skew match the options", () => {
     const arrivals = createArrivals(options);
     assert.equal(createArrivals(options), arrivals);
     assert.ok(Math.abs(arrivals.length - 6000) < 300, String(arrivals.length));
@@ -30,7 +30,7 @@
     assert.ok(Math.abs(share - 0.48) < 0.03, String(share));
 });
 
-test("only addresses of this machine count as loopback", () => {
+test("only localhost, ::1 and 127.x.x.x are loopback addresses", () => {
     assert.equal(["127.0.0.1:1", "localhost:1", "[::1]:1", "10.0.0.1:1", "127.example.org:1"].map(isLoopback), [
         true,
         true,
@@ -40,7 +40,7 @@
     ]);
 });
 
-test("a run counts whole, truncated and refused answers apart", async () => {
+test("a run counts complete, truncated and refused responses separately", async () => {
     let count = 0;
     const server = createServer((_request, response) => {
         const kind = count++ % 3;
