--- a/packages/node/src/clock.ts
+++ b/packages/node/src/clock.ts
@@ -1,26 +1,27 @@
-/** Steady time of this process, in milliseconds. It stands still while the VM is suspended. */
+/** Monotonic time of this process, in milliseconds. This clock stops while the VM is suspended. */
 export function readNow(): number {
     return performance.now();
 }
 
 /**
- * A difference between steps of the time of day and of steady time beyond this counts as a suspension, in milliseconds.
- * Clocks are corrected by less than that at a time.
+ * A forward jump of the wall clock against the monotonic clock counts as a suspension if it is larger than this, in
+ * milliseconds. Corrections of the clock are smaller.
  */
-const suspensionMs = 120;
+const minSuspensionMs = 120;
 
 /** Options of {@link BootClock}. */
 export interface BootClockOptions {
-    /** @default steady time of this process */
+    /** @default monotonic time of this process */
     readonly readSteady?: () => number;
-    /** @default time of day */
+    /** @default wall clock time */
     readonly readWall?: () => number;
 }
 
 /**
- * Time in milliseconds that goes on while the VM is suspended, as far as it can be told: steady time plus each forward
- * jump of the time of day against it. A clock that is set forward looks the same and counts too, which is on the safe
- * side for all that lapses. Node.js offers no clock that counts suspended time itself: `os.uptime` reads a file.
+ * Boot time: a clock in milliseconds that also counts the time while the VM is suspended. Boot time is estimated as
+ * monotonic time plus each forward jump of the wall clock. A wall clock that is set forward looks like a suspension and
+ * is counted too; whatever expires by boot time then expires early, which is safe. Node.js has no clock that counts
+ * suspended time, and `os.uptime` reads a file on each call.
  */
 export class BootClock {
     private readonly readSteady: () => number;
@@ -37,7 +38,7 @@
     read(): number {
         const steady = this.readSteady();
         const offset = this.readWall() - steady;
-        if (offset - this.offset > suspensionMs) {
+        if (offset - this.offset > minSuspensionMs) {
             this.suspended += offset - this.offset;
         }
         this.offset = offset;
@@ -50,15 +51,15 @@
     }
 }
 
-/** Something that will run later. */
+/** A scheduled callback. */
 export interface ScheduledRun {
     cancel(): void;
 }
 
-/** Runs things later. Tests hand in one of simulated time. */
+/** Schedules callbacks. Tests pass an implementation that runs on simulated time. */
 export interface Timers {
     scheduleOnce(run: () => void, waitMs: number): ScheduledRun;
-    /** Does not keep the process alive. */
+    /** The interval does not keep the process alive. */
     scheduleEvery(run: () => void, intervalMs: number): ScheduledRun;
 }
 
--- a/packages/node/src/decisions.ts
+++ b/packages/node/src/decisions.ts
@@ -1,17 +1,17 @@
-/** Most lines a second that are written in full; a burst may use what earlier seconds left. */
-const linesPerSecond = 60;
-const maxBurst = 240;
+/** Line budget of the log, in lines per second. Unused budget adds up to a burst of `maxBurstLines`. */
+const maxLinesPerSecond = 60;
+const maxBurstLines = 240;
 
-/** Most bytes that wait for a reader of the output before lines are dropped. */
+/** Lines are dropped once this many bytes are buffered for the reader of the output. */
 const maxBufferedBytes = 256 * 1024;
 
-/** How often dropped lines are told, in milliseconds. */
-const droppedReportMs = 5000;
+/** Minimum time between two reports of dropped lines, in milliseconds. */
+const droppedReportIntervalMs = 5000;
 
-/** A line that matters more than its number: failures, refusals, changes of state. */
+/** Important lines are failures, rejections and changes of state. They are written even without line budget. */
 export type DecisionLevel = "info" | "important";
 
-/** Where lines go. */
+/** Output stream for log lines. */
 export interface LineSink {
     readonly writableLength: number;
     write(text: string): boolean;
@@ -26,26 +26,26 @@
 }
 
 /**
- * Writes one JSON line for each decision. Its volume is bounded, and it never waits: what exceeds the budget, or what a
- * reader that does not read leaves no room for, is dropped and counted by event.
+ * Writes one JSON line for each decision. The log never blocks: lines beyond the line budget, and lines that do not fit
+ * into the output buffer because its reader is stalled, are dropped and counted by event.
  */
 export class DecisionLog {
-    private tokens = maxBurst;
+    private availableLines = maxBurstLines;
     private refilledAt: number;
-    private readonly dropped = new Map<string, number>();
-    private toldAt: number;
+    private readonly droppedCounts = new Map<string, number>();
+    private droppedReportedAt: number;
 
     constructor(private readonly options: DecisionLogOptions) {
         this.refilledAt = options.readTime();
-        this.toldAt = this.refilledAt;
+        this.droppedReportedAt = this.refilledAt;
     }
 
-    /** Writes a line that may be dropped under load. */
+    /** Writes a line that is dropped when the line budget is used up. */
     record(event: string, fields: object): void {
         this.write("info", event, fields);
     }
 
-    /** Writes a line that is dropped only if nobody reads the output. */
+    /** Writes a line that is dropped only when the output buffer is full. */
     recordImportant(event: string, fields: object): void {
         this.write("important", event, fields);
     }
@@ -53,17 +53,17 @@
     private write(level: DecisionLevel, event: string, fields: object): void {
         const now = this.options.readTime();
         this.advanceBudget(now);
-        const isOverBudget = level === "info" && this.tokens < 1;
+        const isOverBudget = level === "info" && this.availableLines < 1;
         if (isOverBudget || this.options.sink.writableLength > maxBufferedBytes) {
-            this.dropped.set(event, (this.dropped.get(event) ?? 0) + 1);
+            this.droppedCounts.set(event, (this.droppedCounts.get(event) ?? 0) + 1);
             return;
         }
-        this.tokens -= 1;
+        this.availableLines -= 1;
         this.writeLine(event, fields);
-        if (this.dropped.size > 0 && now - this.toldAt > droppedReportMs) {
-            this.toldAt = now;
-            this.writeLine("linesDropped", { counts: Object.fromEntries(this.dropped) });
-            this.dropped.clear();
+        if (this.droppedCounts.size > 0 && now - this.droppedReportedAt > droppedReportIntervalMs) {
+            this.droppedReportedAt = now;
+            this.writeLine("linesDropped", { counts: Object.fromEntries(this.droppedCounts) });
+            this.droppedCounts.clear();
         }
     }
 
@@ -74,7 +74,7 @@
 
     private advanceBudget(now: number): void {
         const seconds = Math.max(0, now - this.refilledAt) / 1000;
-        this.tokens = Math.min(maxBurst, this.tokens + seconds * linesPerSecond);
+        this.availableLines = Math.min(maxBurstLines, this.availableLines + seconds * maxLinesPerSecond);
         this.refilledAt = now;
     }
 }
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -1,4 +1,4 @@
-/** radishreel-node: the data path and the control path of one VM in one process. */
+/** radishreel-node: the data path and the control path of one VM, in one process. */
 export type { AccountBounds } from "./accounts/index.js";
 export { BootClock } from "./clock.js";
 export { DecisionLog, type DecisionLogOptions, type LineSink } from "./decisions.js";
--- a/packages/node/src/life.ts
+++ b/packages/node/src/life.ts
@@ -1,6 +1,6 @@
 import { createMachine, state, transition } from "robot3";
 
-/** Life of the program. */
+/** Lifecycle of the program. */
 export const programMachine = createMachine("starting", {
     starting: state(transition("ready", "serving"), transition("stop", "draining")),
     serving: state(transition("stop", "draining")),
--- a/packages/node/src/ports.ts
+++ b/packages/node/src/ports.ts
@@ -3,190 +3,189 @@
 import type { Result } from "neverthrow";
 
 /**
- * What this program needs of its platform. Another platform, or a stand-in, is another set of classes behind these
- * interfaces.
+ * Interfaces between this program and its platform. A port to another platform, or a test double, implements them.
  */
 
-/** Header names and values in turn, as they were sent. */
+/** Header names and values in alternation, as they were sent. */
 export type RawHeaders = readonly string[];
 
-/** The key that a caller sent, by which its account is known. It must reach no upstream and no log. */
+/** API key of a caller, which identifies its account. The key must not reach upstreams or logs. */
 export type CallerKey =
     | { readonly kind: "missing"; }
-    /** Sent in another form than the one that is taken. */
+    /** The caller sent a key in a form that is not supported. */
     | { readonly kind: "malformed"; }
     | { readonly kind: "key"; readonly key: string; };
 
-/** What a caller's headers ask for. */
+/** Parameters of a request that its headers give. */
 export interface CallerDemand {
-    /** Names one attempt of the caller; upstreams echo it. */
+    /** Identifies one attempt of the caller; upstreams echo the identifier. */
     readonly requestId: string | undefined;
     /** @default missing */
     readonly key?: CallerKey | undefined;
-    /** How long the caller waits, in milliseconds. */
+    /** The caller's time limit, in milliseconds. */
     readonly budgetMs: number | undefined;
     /** Set for requests to model engines. */
     readonly model: ModelDemand | undefined;
-    /** Tokens that the request counts against a quota; undefined if it tells none. */
+    /** Tokens that the request counts against a quota; undefined if the headers give no number. */
     readonly tokens?: number | undefined;
-    /** Last event of a stream that the caller resumes. */
+    /** Identifier of the last event that the caller received of the stream that it resumes. */
     readonly lastEventId: string | undefined;
 }
 
-/** Whose request it is, as an upstream is told. */
+/** Identity of the caller, as sent to upstreams. */
 export interface CallerIdentity {
-    /** Name of the account; undefined on a route that is public. */
+    /** Name of the account; undefined on a public route. */
     readonly account: string | undefined;
 }
 
-/** How one attempt is sent. */
+/** Options for sending one attempt to an upstream. */
 export interface SendOptions {
-    /** Name of the upstream that must answer; any other refuses. */
+    /** Name of the upstream that the attempt is for; any other upstream rejects it. */
     readonly upstreamName: string;
-    /** What is left of the caller's time, in milliseconds. */
+    /** Remaining time of the caller, in milliseconds. */
     readonly budgetMs: number;
-    /** Adapter version that must answer; undefined for requests without an adapter. */
+    /** Adapter version that must serve the request; undefined for requests without an adapter. */
     readonly version: number | undefined;
-    /** Event after which a stream goes on. */
+    /** Identifier of the event after which the stream resumes. */
     readonly lastEventId: string | undefined;
-    /** Urgency, 0 is first; undefined leaves the upstream's default. */
+    /** Priority, 0 is the highest; undefined uses the upstream's default. */
     readonly priority: number | undefined;
-    /** Undefined where there are no accounts, and callers' keys are none of this program's. */
+    /** Undefined if the configuration has no accounts; keys of callers are then passed through. */
     readonly identity?: CallerIdentity | undefined;
 }
 
-/** What the head of an upstream's answer says. */
+/** Status and headers of an upstream's response, parsed. */
 export interface AnswerHead {
-    /** The request that it answers. */
+    /** Identifier of the request that the response belongs to. */
     readonly requestId: string | undefined;
-    /** The upstream says that it did not run the request. */
+    /** Whether the upstream states that it did not run the request. */
     readonly isNotRun: boolean;
-    /** The upstream is not the incarnation, or lacks the adapter or the version, that the request names. */
+    /** Whether the upstream is not the incarnation that the request names, or lacks its adapter or version. */
     readonly isMisdirected: boolean;
-    /** The upstream vouches for the answer. */
+    /** Whether the upstream signed the response. */
     readonly isSigned: boolean;
-    /** Name of the upstream that answers, where the answer gives it. */
+    /** Name of the upstream that sent the response, if the response gives it. */
     readonly answeredBy: string | undefined;
-    /** The upstream that answers says that it leaves. */
+    /** Whether the upstream announces that it is leaving. */
     readonly isLeaving: boolean;
-    /** How long the upstream wants nothing more from this VM, in milliseconds; undefined if it does not ask for rest. */
+    /** Backoff that the upstream requests from this VM, in milliseconds; undefined if it requests none. */
     readonly askedRestMs: number | undefined;
 }
 
-/** Names of headers and statuses between callers, this program and upstreams. */
+/** Headers and status codes that callers, this program and upstreams use. */
 export interface RequestDialect {
     parseDemand(headers: RawHeaders): CallerDemand;
-    /** The caller's headers as an upstream gets them, with those that this program sets. */
+    /** Creates the headers for an upstream: those of the caller and those that this program sets. */
     createHeaders(headers: RawHeaders, options: SendOptions): string[];
     parseAnswer(status: number, headers: RawHeaders): AnswerHead;
-    /** Headers of an answer as the caller gets them: without those that concern one connection only. */
+    /** Lists the headers of a response that are passed on to the caller: all but the hop-by-hop headers. */
     listAnswerHeaders(headers: RawHeaders): string[];
 }
 
-/** Guards of an order. */
+/** Conditions under which an order may be sent. */
 export interface OrderGuard {
     readonly holder: string;
     readonly fence: number;
-    /** Asked in the same step as the write; if it says no, nothing is sent. */
+    /** Called in the same tick as the write; nothing is sent if it returns false. */
     readonly checkBeforeSend: () => boolean;
 }
 
-/** Why there is no report: no connection could be opened, nothing came that can be read, or another incarnation is there. */
+/** Why there is no report: the connection failed, no readable response arrived, or another incarnation responded. */
 export type ReportFailure = "unreachable" | "unknown" | "replaced";
 
-/** Orders to engines. Calls back if an engine's answer says that it leaves. */
+/** Sends orders to engines. `onLeaving` is called if the response of an engine announces that it is leaving. */
 export interface EngineOrders {
     send(upstream: Upstream, order: EngineOrder, guard: OrderGuard, onLeaving?: () => void): Promise<OrderAnswer>;
     readReport(upstream: Upstream, onLeaving?: () => void): Promise<Result<EngineReport, ReportFailure>>;
 }
 
-/** One VM of the system. */
+/** A VM of the system, as listed in the store. */
 export interface Member {
     readonly id: string;
-    /** `host:port` of its listener for peers. */
+    /** `host:port` of the VM's listener for peers. */
     readonly address: string;
     readonly dataCentre?: string | undefined;
-    /** The deal of shards in which it has given orders; undefined while it has not. */
+    /** Generation of the shard assignment in which the VM has given orders; undefined if it has given none. */
     readonly generation?: number | undefined;
-    /** Whether its process stopped as planned and gave up what it owned. */
+    /** Whether the VM's process stopped as planned and released its shards. */
     readonly hasLeft?: boolean | undefined;
 }
 
-/** A change of what the platform's store says, in this program's terms. */
+/** A change in the platform's store. */
 export type ClusterChange =
     | { readonly kind: "routing"; readonly routing: Routing; readonly position: number; }
     | { readonly kind: "upstream"; readonly upstream: Upstream; readonly position: number; }
-    /** No upstream of this name is registered any more, or its entry cannot be read. */
+    /** No upstream is registered under this name any more, or its entry cannot be read. */
     | { readonly kind: "upstreamGone"; readonly name: string; readonly position: number; }
     | {
         readonly kind: "version";
         readonly key: string;
         readonly version: number;
         readonly position: number;
-        /** How long ago it was named at the most, in milliseconds; undefined if that is not known. */
+        /** Maximum time since the version was published, in milliseconds; undefined if unknown. */
         readonly ageMs?: number | undefined;
     }
     | { readonly kind: "member"; readonly member: Member; readonly position: number; };
 
-/** A record of the store that cannot be read: something else has written it, or a part of it is wrong. */
+/** A record of the store that cannot be read because another program wrote it or a part of it is invalid. */
 export interface UnreadableRecord {
     readonly topic: string;
     readonly key: string;
     readonly position: number;
-    /** What is wrong with it. */
+    /** What is wrong with the record. */
     readonly why: string;
 }
 
-/** Takes changes as they are read. */
+/** Receives what is read from the store. */
 export interface ClusterReceiver {
     receiveUnreadable(record: UnreadableRecord): void;
     receiveChanges(changes: readonly ClusterChange[]): void;
-    /** All upstreams that the store lists, at a position: those not among them are gone. */
+    /** Receives the names of all registered upstreams at a position; upstreams that are not among them are gone. */
     receiveUpstreamList(names: ReadonlySet<string>, position: number): void;
-    /** Reports of upstreams that have ended, of any VM. */
+    /** Receives crash reports of any VM. */
     receiveCrashReports(reports: readonly CrashReport[]): void;
     /**
-     * The newest configuration that the store holds has been passed on.
-     * @param asOf When it was the newest for certain, in boot time.
+     * Called when the newest configuration in the store has been delivered.
+     * @param asOf Boot time at which that configuration was certainly the newest, in milliseconds.
      */
     receiveConfirmed(asOf: number): void;
-    /** All members that the store lists have been passed on. Called once. */
+    /** Called once, when all members in the store have been delivered. */
     receiveMembersRead(): void;
     receiveReachable(isReachable: boolean, detail: string): void;
 }
 
-/** Keeps reports of upstreams that have ended, over restarts of all VMs. */
+/** Keeps crash reports, so that they survive a restart of all VMs. */
 export interface CrashReportStore {
     /**
-     * Writes a report, or drops the one of that name.
-     * @param report Undefined drops it.
-     * @returns Whether the store has taken it.
+     * Writes a report under a name, or removes the report of that name.
+     * @param report Undefined to remove the report.
+     * @returns Whether the store confirmed the write.
      */
     appendCrashReport(name: string, report: CrashReport | undefined): Promise<boolean>;
 }
 
-/** Reads the platform's store and goes on reading it. */
+/** Reads the platform's store continuously. */
 export interface ClusterStore extends CrashReportStore {
     start(receiver: ClusterReceiver): void;
     stop(): void;
-    /** Whether it goes on reading; the newest records of all are read in any case, once. */
+    /** Whether this VM reads continuously. At the start the newest records are read once in any case. */
     readonly isReading: boolean;
     setReading(isReading: boolean): void;
-    /** Makes this VM known to others, in place of what it said before. Retried until it is done. */
+    /** Writes this VM's entry, which replaces the earlier one. The write is retried until it succeeds. */
     appendMember(member: Member): void;
 }
 
-/** The shards that a VM holds, and the generation of the deal. */
+/** The shards that are assigned to a VM, and the generation of the assignment. */
 export interface ShardDeal {
     readonly generation: number;
     readonly shards: readonly number[];
 }
 
-/** Deals shards of engines to VMs. */
+/** Assigns shards of engines to VMs. */
 export interface ShardClaims {
     readonly shardCount: number;
-    /** Joins, or renews; undefined if no answer came. */
+    /** Joins the group or renews the membership. @returns Undefined if there was no response. */
     renew(generation: number): Promise<ShardDeal | undefined>;
-    /** Gives all shards back. @returns Whether the store has said so: then the deal is over. */
+    /** Leaves the group and releases all shards. @returns Whether the store confirmed that the assignment is over. */
     release(): Promise<boolean>;
 }
