--- a/packages/node/src/knowledge/cluster.ts
+++ b/packages/node/src/knowledge/cluster.ts
@@ -3,16 +3,16 @@
 import type { DecisionLog } from "../decisions.js";
 import type { ReadPositions } from "../links/messages.js";
 import type { ClusterChange, Member } from "../ports.js";
-import { Registry } from "./registry.js";
+import { UpstreamRegistry } from "./registry.js";
 
 /**
- * How long after the store is back an upstream whose entry lapsed meanwhile is kept, in milliseconds: living ones
- * register again within about two seconds.
+ * How long an upstream whose entry lapsed during an outage of the store is kept after the outage, in milliseconds.
+ * Running upstreams register again within about 2 s.
  */
-const lapseGraceMs = 2100;
+const lapsedEntryGraceMs = 2100;
 
-/** Names the configuration among what changes are about. */
-const routingItem = "routing";
+/** Key of changes of the configuration. */
+const routingChangeKey = "routing";
 
 type VersionChange = Extract<ClusterChange, { kind: "version"; }>;
 
@@ -21,89 +21,93 @@
     readonly view: FleetView;
     readonly log: DecisionLog;
     readonly readTime: () => number;
-    /** Time that goes on while the VM is suspended, in milliseconds. @default readTime */
+    /** Boot time, which also counts while the VM is suspended, in milliseconds. @default readTime */
     readonly readBoot?: (() => number) | undefined;
-    /** Something that requests may wait for has changed. */
+    /** Called when something changed that requests may wait for. */
     readonly onChange: () => void;
     readonly onUpstreamGone: (id: string) => void;
-    /** An entry of an upstream is in force. */
+    /** Called when the entry of an upstream is applied. */
     readonly onUpstream?: ((upstream: Upstream) => void) | undefined;
-    /** A version of an adapter was learned. */
+    /** Called when a version of an adapter is learned. */
     readonly onVersion?: (() => void) | undefined;
     readonly onMember: (member: Member) => void;
 }
 
 /**
- * What the store said, in force on this VM. Changes come from the store and from peers, in any order and more than once;
- * for each item only the one with the highest position counts, so that nothing ever goes back. Which incarnation of an
- * upstream counts is for the {@link Registry} to say.
+ * The state of the cluster on this VM, as read from the store. Changes arrive from the store and from peers, in any
+ * order and more than once. For each key only the change with the highest position is applied, so no state is ever
+ * reverted to an earlier one. The {@link UpstreamRegistry} decides which incarnation of an upstream is valid.
  */
 export class ClusterState {
-    private table: RouteTable | undefined;
+    private routeTable: RouteTable | undefined;
     private operatorPosition = -1;
     private upstreamPosition = -1;
     private readonly positions = new Map<string, number>();
-    private readonly changes = new Map<string, ClusterChange>();
-    /** Versions before the newest, by adapter key, oldest first: who lacks them must know when the first one was named. */
-    private readonly replaced = new Map<string, VersionChange[]>();
-    private readonly registry = new Registry();
-    private readonly lapsed = new Set<string>();
-    private hasUpstreams = false;
-    private hasStore = false;
-    private storeBackAt = -Infinity;
+    private readonly newestChanges = new Map<string, ClusterChange>();
+    /**
+     * Versions before the newest, by adapter key, oldest first. A VM that lacks them must learn when the first was
+     * published.
+     */
+    private readonly olderVersions = new Map<string, VersionChange[]>();
+    private readonly registry = new UpstreamRegistry();
+    private readonly lapsedNames = new Set<string>();
+    private hasReadUpstreams = false;
+    private hasStoreContact = false;
+    private storeRegainedAt = -Infinity;
     private readonly readBoot: () => number;
 
     constructor(private readonly options: ClusterStateOptions) {
         this.readBoot = options.readBoot ?? options.readTime;
     }
 
-    /** Whether routes and upstreams are known: a VM that has just started reads them within some 0.1 s. */
+    /** Whether routes and upstreams are known. A newly started VM reads them within about 0.1 s. */
     get isComplete(): boolean {
-        return this.table !== undefined && this.hasUpstreams;
+        return this.routeTable !== undefined && this.hasReadUpstreams;
     }
 
-    /** Routes in force; undefined until a configuration is known. */
+    /** Routes in use; undefined until a configuration is known. */
     get routes(): RouteTable | undefined {
-        return this.table;
+        return this.routeTable;
     }
 
-    /** The configuration that was read last, with its position; undefined until one is known. */
+    /** Finds the newest configuration with its position; undefined until a configuration is known. */
     findRouting(): Extract<ClusterChange, { kind: "routing"; }> | undefined {
-        const change = this.changes.get(routingItem);
+        const change = this.newestChanges.get(routingChangeKey);
         return change?.kind === "routing" ? change : undefined;
     }
 
-    /** How far has been read, from the store or from peers. */
+    /** Positions up to which changes were read from the store or from peers. */
     get readPositions(): ReadPositions {
         return { operator: this.operatorPosition, upstreams: this.upstreamPosition };
     }
 
-    /** What a VM that has read so far lacks. */
+    /** Lists the changes that a VM which has read up to these positions lacks. */
     listChangesAfter(positions: ReadPositions): ClusterChange[] {
-        const replaced = [...this.replaced.values()].flat();
-        return [...replaced, ...this.changes.values()]
-            .filter(change => change.position > readKindPosition(positions, change))
+        const olderVersions = [...this.olderVersions.values()].flat();
+        return [...olderVersions, ...this.newestChanges.values()]
+            .filter(change => change.position > readPositionFor(positions, change))
             .map(change => this.updateAge(change));
     }
 
-    /** What the operator has written after a position. */
+    /** Lists changes that the operator wrote after a position. */
     listOperatorChangesAfter(position: number): ClusterChange[] {
         return this.listChangesAfter({ operator: position, upstreams: Infinity });
     }
 
     /**
-     * Takes changes, and returns those that were new, as other VMs are told of them.
-     * @param from Where they come from, for the log: the store, or the VM that has passed them on.
+     * Applies changes.
+     * @param from Source of the changes, for the log: "store" or the name of the VM that forwarded them.
+     * @returns The changes that were new, with ages as of now, to be forwarded to other VMs.
      */
     applyChanges(changes: readonly ClusterChange[], from = "store"): ClusterChange[] {
-        const fresh = changes.filter(change => this.applyChange(change, from));
-        if (fresh.length > 0) {
+        const newChanges = changes.filter(change => this.applyChange(change, from));
+        if (newChanges.length > 0) {
             this.options.onChange();
         }
-        return fresh.map(change => this.updateAge(change));
+        return newChanges.map(change => this.updateAge(change));
     }
 
-    /** Takes the whole list of registered upstreams: those that are missing in it are gone. */
+    /** Applies the complete list of registered upstreams: upstreams that are not in it are removed. */
     applyUpstreamList(names: ReadonlySet<string>, position: number): void {
         for (const { upstream } of this.options.view.listUpstreams()) {
             const isOlder = this.registry.readEntryPosition(upstream.name) < position;
@@ -111,51 +115,52 @@
                 this.applyRemoval(upstream.name, position);
             }
         }
-        this.hasUpstreams = true;
+        this.hasReadUpstreams = true;
         this.options.onChange();
     }
 
-    /** Takes word whether this VM reaches the store. */
+    /** Records whether this VM reaches the store. */
     setReachable(isReachable: boolean): void {
-        if (isReachable && !this.hasStore) {
-            this.storeBackAt = this.options.readTime();
+        if (isReachable && !this.hasStoreContact) {
+            this.storeRegainedAt = this.options.readTime();
         }
-        this.hasStore = isReachable;
+        this.hasStoreContact = isReachable;
     }
 
     get isStoreReachable(): boolean {
-        return this.hasStore;
+        return this.hasStoreContact;
     }
 
     /**
-     * Drops upstreams whose entries lapsed around an outage of the store and did not come back. The time counts from its
-     * return: an entry that is removed soon after it must not be kept for as long again, since its upstream leaves.
+     * Removes upstreams whose entries lapsed around an outage of the store and did not come back. The grace period
+     * starts at the end of the outage: an entry that is removed shortly after the outage must not be kept for a full
+     * period more, since its upstream is leaving.
      */
     expireLapsed(): void {
         const now = this.options.readTime();
-        if (!this.hasStore || now < this.storeBackAt + lapseGraceMs) {
+        if (!this.hasStoreContact || now < this.storeRegainedAt + lapsedEntryGraceMs) {
             return;
         }
-        for (const name of this.lapsed) {
-            this.removeGoneUpstream(name, "entry lapsed and did not come back");
+        for (const name of this.lapsedNames) {
+            this.removeGoneUpstream(name, "entry lapsed and was not registered again");
         }
-        this.lapsed.clear();
+        this.lapsedNames.clear();
     }
 
     private applyChange(change: ClusterChange, from: string): boolean {
         if (change.kind === "upstream" || change.kind === "upstreamGone") {
             return this.applyRegistration(change, from);
         }
-        const item = formatItem(change);
-        if ((this.positions.get(item) ?? -1) >= change.position) {
+        const changeKey = formatChangeKey(change);
+        if ((this.positions.get(changeKey) ?? -1) >= change.position) {
             if (change.kind === "version") {
-                this.applyMissedVersion(change);
+                this.applyOlderVersion(change);
             }
             return false;
         }
-        this.recordReplaced(this.changes.get(item));
-        this.positions.set(item, change.position);
-        this.changes.set(item, change);
+        this.recordOlderVersion(this.newestChanges.get(changeKey));
+        this.positions.set(changeKey, change.position);
+        this.newestChanges.set(changeKey, change);
         this.recordPosition(change);
         switch (change.kind) {
             case "routing":
@@ -171,31 +176,36 @@
         return true;
     }
 
-    /** A version counts from when it may have been named: what this VM learns late was in force before. */
+    /** Applies a version as of the earliest time at which it may have been published, not of its arrival here. */
     private applyVersion({ key, version, ageMs }: VersionChange): void {
         const since = ageMs === undefined ? -Infinity : this.readBoot() - ageMs;
         this.options.view.versions.update(key, version, since);
         this.options.onVersion?.();
     }
 
-    /** A version before the newest that is known here: the time since a replacement counts from the first newer one. */
-    private applyMissedVersion(change: VersionChange): void {
+    /**
+     * Applies a version older than the newest known one: the time since a replacement counts from the first newer
+     * version.
+     */
+    private applyOlderVersion(change: VersionChange): void {
         if (!this.options.view.versions.has(change.key, change.version)) {
             this.applyVersion(change);
-            this.recordReplaced(change);
+            this.recordOlderVersion(change);
         }
     }
 
-    private recordReplaced(change: ClusterChange | undefined): void {
+    private recordOlderVersion(change: ClusterChange | undefined): void {
         if (change?.kind !== "version") {
             return;
         }
         const { key } = change;
-        const known = [...this.replaced.get(key) ?? [], change].sort((left, right) => left.position - right.position);
-        this.replaced.set(key, known.filter(({ version }) => this.options.view.versions.has(key, version)));
+        const known = [...this.olderVersions.get(key) ?? [], change].sort((left, right) =>
+            left.position - right.position
+        );
+        this.olderVersions.set(key, known.filter(({ version }) => this.options.view.versions.has(key, version)));
     }
 
-    /** A change as it is told now: the age of a version goes on while it is known. */
+    /** Creates a copy of the change with the present age of its version. */
     private updateAge(change: ClusterChange): ClusterChange {
         if (change.kind !== "version") {
             return change;
@@ -213,7 +223,7 @@
             ? this.applyEntry(change.upstream, change.position, from)
             : this.applyRemoval(change.name, change.position);
         if (isNew) {
-            this.changes.set(formatItem(change), change);
+            this.newestChanges.set(formatChangeKey(change), change);
         }
         return isNew;
     }
@@ -228,10 +238,10 @@
     }
 
     private applyRouting(change: Extract<ClusterChange, { kind: "routing"; }>): void {
-        if (change.routing.version < (this.table?.routing.version ?? -Infinity)) {
+        if (change.routing.version < (this.routeTable?.routing.version ?? -Infinity)) {
             return;
         }
-        this.table = new RouteTable(change.routing);
+        this.routeTable = new RouteTable(change.routing);
         this.options.log.recordImportant("routingInForce", {
             version: change.routing.version,
             position: change.position,
@@ -239,23 +249,23 @@
         });
     }
 
-    /** An upstream that has started again is another one: nothing that is known of the one before holds for it. */
+    /** Applies an entry. A restarted upstream is a new upstream: the state of its earlier incarnation is removed. */
     private applyEntry(upstream: Upstream, position: number, from: string): boolean {
-        const verdict = this.registry.applyEntry(upstream, position);
-        const known = this.findByName(upstream.name);
-        if (verdict === "earlier") {
+        const outcome = this.registry.applyEntry(upstream, position);
+        const known = this.findUpstreamByName(upstream.name);
+        if (outcome === "earlier") {
             this.options.log.recordImportant("entryOfEarlierLife", { upstream: upstream.id, known: known?.id });
         }
-        if (verdict === "known" || verdict === "earlier") {
+        if (outcome === "known" || outcome === "earlier") {
             return false;
         }
-        if (known !== undefined && (known.id !== upstream.id || verdict === "gone")) {
-            this.removeGoneUpstream(known.name, verdict === "gone" ? "entry removed" : "started again");
+        if (known !== undefined && (known.id !== upstream.id || outcome === "gone")) {
+            this.removeGoneUpstream(known.name, outcome === "gone" ? "entry removed" : "restarted");
         }
-        if (verdict === "present") {
-            // A VM that starts while the store is away learns of upstreams from its peers.
-            this.hasUpstreams = true;
-            this.lapsed.delete(upstream.name);
+        if (outcome === "present") {
+            // A VM that starts during an outage of the store learns of upstreams from its peers.
+            this.hasReadUpstreams = true;
+            this.lapsedNames.delete(upstream.name);
             this.updateUpstream(upstream, position, from);
         }
         return true;
@@ -272,33 +282,33 @@
         }
     }
 
-    private findByName(name: string): Upstream | undefined {
+    private findUpstreamByName(name: string): Upstream | undefined {
         return this.options.view.listUpstreams().find(({ upstream }) => upstream.name === name)?.upstream;
     }
 
     private applyRemoval(name: string, position: number): boolean {
-        const verdict = this.registry.applyRemoval(name, position);
-        if (verdict === "gone") {
-            this.removeUpstream(name);
+        const outcome = this.registry.applyRemoval(name, position);
+        if (outcome === "gone") {
+            this.removeUnregisteredUpstream(name);
         }
-        return verdict === "gone";
+        return outcome === "gone";
     }
 
-    private removeUpstream(name: string): void {
+    private removeUnregisteredUpstream(name: string): void {
         const now = this.options.readTime();
-        const backForMs = now - this.storeBackAt;
-        const upstream = this.findByName(name);
-        const isAroundOutage = !this.hasStore || backForMs < lapseGraceMs;
-        // One that had said that it leaves is gone; one that fell silent while the store was away may still live.
-        if (isAroundOutage && upstream !== undefined && this.options.view.isUsable(upstream.id)) {
-            this.lapsed.add(name);
+        const reachableForMs = now - this.storeRegainedAt;
+        const upstream = this.findUpstreamByName(name);
+        const isNearOutage = !this.hasStoreContact || reachableForMs < lapsedEntryGraceMs;
+        // An upstream that announced that it is leaving is gone. Any other may still run: it could not renew its entry.
+        if (isNearOutage && upstream !== undefined && this.options.view.isUsable(upstream.id)) {
+            this.lapsedNames.add(name);
             return;
         }
         this.removeGoneUpstream(name, "entry removed");
     }
 
     private removeGoneUpstream(name: string, why: string): void {
-        const upstream = this.findByName(name);
+        const upstream = this.findUpstreamByName(name);
         if (upstream === undefined) {
             return;
         }
@@ -312,15 +322,15 @@
     return change.kind === "routing" || change.kind === "version";
 }
 
-function readKindPosition(positions: ReadPositions, change: ClusterChange): number {
+function readPositionFor(positions: ReadPositions, change: ClusterChange): number {
     return isOperatorChange(change) ? positions.operator : positions.upstreams;
 }
 
-/** Names what a change is about: later positions of the same item replace earlier ones. */
-function formatItem(change: ClusterChange): string {
+/** Formats the key of a change: a change replaces earlier positions of the same key. */
+function formatChangeKey(change: ClusterChange): string {
     switch (change.kind) {
         case "routing":
-            return routingItem;
+            return routingChangeKey;
         case "upstream":
             return `upstream ${change.upstream.name}`;
         case "upstreamGone":
--- a/packages/node/src/knowledge/departures.ts
+++ b/packages/node/src/knowledge/departures.ts
@@ -8,46 +8,47 @@
     readonly log: DecisionLog;
     readonly readTime: () => number;
     readonly broadcast: (message: PeerMessage) => void;
-    /** Something that requests may wait for has changed. */
+    /** Called when something changed that requests may wait for. */
     readonly onChange: () => void;
 }
 
 /**
- * What answers say of upstreams that leave: while the store is away a VM learns it from nothing else. A VM that learns it
- * from an answer tells the others once, and one that was told tells nobody.
+ * Shares which upstreams announced in a response that they are leaving. During an outage of the store, responses are
+ * the only source of this. A VM that learns it from a response broadcasts it once; a VM that learns it from a peer does
+ * not forward it.
  */
 export class DepartureSharing {
     constructor(private readonly options: DepartureSharingOptions) {}
 
-    /** An answer to this VM says that an upstream leaves. */
+    /** Records that an upstream announced in a response to this VM that it is leaving. */
     recordAnswer(upstream: string): void {
         if (this.apply([upstream], "answer")) {
             this.options.broadcast({ type: "upstreamsLeaving", upstreams: [upstream] });
         }
     }
 
-    /** Another VM has had such answers. */
+    /** Records leaving upstreams that another VM announced. */
     receive(vm: string, upstreams: readonly string[]): void {
         this.apply(upstreams, vm);
     }
 
-    /** What a VM is told whose link has just opened; mostly nothing. */
+    /** Creates the messages for a VM whose link has just opened; usually none. */
     createGreeting(): PeerMessage[] {
         const upstreams = this.options.view.listDeparting();
         return upstreams.length === 0 ? [] : [{ type: "upstreamsLeaving", upstreams }];
     }
 
-    /** @returns Whether that was news. */
+    /** @returns Whether any of the upstreams was not yet known to be leaving. */
     private apply(upstreams: readonly string[], from: string): boolean {
         const { view, log, readTime, onChange } = this.options;
-        const fresh = upstreams.filter(id => view.recordLeaving(id, readTime()));
-        for (const upstream of fresh) {
+        const newlyLeaving = upstreams.filter(id => view.recordLeaving(id, readTime()));
+        for (const upstream of newlyLeaving) {
             const service = view.findUpstream(upstream)?.upstream.service;
             log.recordImportant("upstreamLeaving", { upstream, service, from });
         }
-        if (fresh.length > 0) {
+        if (newlyLeaving.length > 0) {
             onChange();
         }
-        return fresh.length > 0;
+        return newlyLeaving.length > 0;
     }
 }
--- a/packages/node/src/knowledge/isolation.ts
+++ b/packages/node/src/knowledge/isolation.ts
@@ -1,45 +1,51 @@
 /**
- * How long a VM must have heard of nobody outside its data centre, in milliseconds, to count as cut off: two heartbeats of
- * 400 ms may be lost, and one may be late.
+ * Silence after which a VM counts as isolated when all VMs are linked to each other, in milliseconds. Two heartbeats,
+ * sent every 400 ms, may be lost and a third may be late.
  */
-const meshSilentMs = 1000;
+const meshSilenceLimitMs = 1000;
 
 /**
- * The same among more VMs, which hear heartbeats of 2.5 s from each owner of engines: of 10 owners in other data centres each
- * second four, and renew their claims every 1.2 s.
+ * Silence after which a VM counts as isolated when VMs are linked only to owners of engines, in milliseconds. Each
+ * owner sends a heartbeat every 2.5 s, so with 10 owners in other data centres four arrive per second. VMs renew their
+ * shard leases every 1.2 s.
  */
-const fleetSilentMs = 2000;
+const hubSilenceLimitMs = 2000;
 
-/** What a VM hears of the world outside its data centre. */
-export interface OutsideSigns {
-    /** Whether VMs of other data centres are known at all. */
+/** Contact of a VM with other data centres and with the store. */
+export interface ReachabilitySignals {
+    /** Whether a VM of another data centre was ever linked. */
     readonly hasOthers: boolean;
-    /** Time since any of them was heard, in milliseconds. */
+    /** Time since the last frame from a VM of another data centre, in milliseconds. */
     readonly othersQuietMs: number;
-    /** Age of the last call to the store that was answered, in milliseconds. */
+    /** Time since the last call to the store that got a response, in milliseconds. */
     readonly storeQuietMs: number;
-    /** Whether each VM is linked to each. */
+    /** Whether all VMs are linked to each other. */
     readonly isMesh: boolean;
 }
 
 /**
- * Whether this VM is cut off from all other data centres and from the store. Callers still reach it, but it can use only
- * the upstreams beside it, and nobody may load adapters there, so that it serves few model requests. So it takes itself out of
- * the balancer, and lets callers that are connected go after their answer.
+ * Detects that this VM is cut off from all other data centres and from the store. Callers still reach an isolated VM,
+ * but it can use only the upstreams of its own data centre, and no VM may load adapters there, so it can serve few
+ * model requests. An isolated VM therefore reports to the load balancer that it is not ready, and closes connections of
+ * callers after the response.
  */
-export class IsolationWatch {
+export class IsolationMonitor {
     private wasSilent = false;
-    private isCut = false;
+    private isolated = false;
 
     get isIsolated(): boolean {
-        return this.isCut;
+        return this.isolated;
     }
 
-    /** Takes what is heard now. One check alone decides nothing: a VM that was paused reads what has arrived after it. */
-    update(signs: OutsideSigns): void {
-        const silentMs = signs.isMesh ? meshSilentMs : fleetSilentMs;
-        const isSilent = signs.hasOthers && signs.othersQuietMs > silentMs && signs.storeQuietMs > silentMs;
-        this.isCut = isSilent && this.wasSilent;
+    /**
+     * Updates the state. Two checks in a row must find silence: in the first check after a pause of the process, frames
+     * that have arrived are not yet read.
+     */
+    update(signals: ReachabilitySignals): void {
+        const silenceLimitMs = signals.isMesh ? meshSilenceLimitMs : hubSilenceLimitMs;
+        const isSilent = signals.hasOthers && signals.othersQuietMs > silenceLimitMs
+            && signals.storeQuietMs > silenceLimitMs;
+        this.isolated = isSilent && this.wasSilent;
         this.wasSilent = isSilent;
     }
 }
--- a/packages/node/src/knowledge/readers.ts
+++ b/packages/node/src/knowledge/readers.ts
@@ -1,56 +1,56 @@
 /**
- * A reader that has not been heard of for so many pauses between reads reads no longer for others: at 300 ms it tells how far
- * it has read every 250 ms, is given up after 0.7 s, and what it reads must be in force everywhere within 2 s.
+ * Followers drop a reader that has sent no positions for this many pauses between reads. With pauses of 300 ms a reader
+ * sends its positions every 250 ms and is dropped after 0.7 s. What is read must be in use on all VMs within 2 s.
  */
-const readerLifePauses = 7 / 3;
+const readerTimeoutPauses = 7 / 3;
 
-/** Usual pause between two reads of the entries of upstreams, in milliseconds. */
+/** Default pause between two reads of upstream entries from the store, in milliseconds. */
 export const usualEntriesPauseMs = 300;
 
 /** Options of {@link StoreReaders}. */
 export interface StoreReadersOptions {
     readonly vm: string;
     readonly dataCentre: string;
-    /** Pause between two reads of the entries of upstreams, in milliseconds. @default 300 */
+    /** Pause between two reads of upstream entries from the store, in milliseconds. @default 300 */
     readonly entriesPauseMs?: number | undefined;
 }
 
-/** What a VM tells of its own reading. */
+/** What a VM last reported about its reading of the store. */
 interface ReaderState {
     readonly dataCentre: string;
     readonly canRead: boolean;
-    readonly heardAt: number;
+    readonly updatedAt: number;
 }
 
 /**
- * Which VM reads the store for which: in each data centre the first one, by name, that reaches it; the others take from it
- * what it reads. Calls to the store then grow with the data centres and not with the VMs. A VM that does not hear of a
- * reader of its own data centre reads by itself; nothing has to be agreed.
+ * Selects the VM that reads the store for a data centre: the first VM by name that reaches the store. The other VMs
+ * follow it, so the number of calls to the store grows with the number of data centres and not of VMs. A VM that knows
+ * no reader in its data centre reads the store itself, so the VMs need no agreement.
  */
 export class StoreReaders {
     private readonly states = new Map<string, ReaderState>();
 
     constructor(private readonly options: StoreReadersOptions) {}
 
-    /** Takes word of a VM whether it reads the store and reaches it. */
+    /** Records whether a VM reads the store and reaches it. */
     update(vm: string, dataCentre: string, canRead: boolean, now: number): void {
-        this.states.set(vm, { dataCentre, canRead, heardAt: now });
+        this.states.set(vm, { dataCentre, canRead, updatedAt: now });
     }
 
     removeVm(vm: string): void {
         this.states.delete(vm);
     }
 
-    /** VMs that read the store and reach it, in any data centre. */
+    /** Lists VMs that read the store and reach it, in all data centres. */
     listReaders(now: number): string[] {
         return [...this.states].filter(([, state]) => state.canRead && this.isFresh(state, now)).map(([vm]) => vm);
     }
 
-    private isFresh({ heardAt }: ReaderState, now: number): boolean {
-        return now - heardAt <= readerLifePauses * (this.options.entriesPauseMs ?? usualEntriesPauseMs);
+    private isFresh({ updatedAt }: ReaderState, now: number): boolean {
+        return now - updatedAt <= readerTimeoutPauses * (this.options.entriesPauseMs ?? usualEntriesPauseMs);
     }
 
-    /** The VM that reads for this one; undefined if this one must read by itself. */
+    /** Finds the VM that reads the store for this one; undefined if this VM must read the store itself. */
     findReader(now: number): string | undefined {
         const { vm: self, dataCentre: own } = this.options;
         let first: string | undefined;
--- a/packages/node/src/knowledge/registry.ts
+++ b/packages/node/src/knowledge/registry.ts
@@ -1,36 +1,36 @@
 import type { Upstream } from "@radishreel/fleet";
 
-/** What has been read of one upstream's name. */
-interface RegisteredName {
-    /** Start of the newest incarnation. */
+/** What was read about one upstream name. */
+interface NameRegistration {
+    /** Start time of the newest incarnation. */
     bornAt: number;
-    /** Position of its newest entry. */
+    /** Position of the newest entry of that incarnation. */
     entryPosition: number;
-    /** Position of the newest word that no entry stands under the name. */
-    gonePosition: number;
+    /** Position of the newest removal of the name. */
+    removalPosition: number;
 }
 
-/** What an entry or a removal means. */
-export type RegistryVerdict =
-    /** It is known already. */
+/** Effect of an entry or a removal. */
+export type RegistrationOutcome =
+    /** The record is already known. */
     | "known"
-    /** It is of an incarnation before the newest one. */
+    /** The entry belongs to an earlier incarnation than the newest one. */
     | "earlier"
-    /** The name stands for an upstream now. */
+    /** The name is registered now. */
     | "present"
-    /** No upstream stands under the name. */
+    /** The name is not registered. */
     | "gone";
 
 /**
- * Which incarnation each name stands for. Entries and removals come from the store and from peers, in any order and more
- * than once; whatever the order, all VMs that have seen the same ones agree: the newest incarnation counts, from its newest
- * entry on, unless a later record has removed it.
+ * Maps each upstream name to its incarnation. Entries and removals arrive from the store and from peers, in any order
+ * and more than once. All VMs that received the same records agree, whatever the order: the newest entry of the newest
+ * incarnation is valid unless a record at a later position removed it.
  */
-export class Registry {
-    private readonly names = new Map<string, RegisteredName>();
+export class UpstreamRegistry {
+    private readonly registrations = new Map<string, NameRegistration>();
 
-    applyEntry(upstream: Upstream, position: number): RegistryVerdict {
-        const known = this.findName(upstream.name);
+    applyEntry(upstream: Upstream, position: number): RegistrationOutcome {
+        const known = this.findRegistration(upstream.name);
         if (upstream.bornAt < known.bornAt) {
             return "earlier";
         }
@@ -39,26 +39,26 @@
         }
         known.bornAt = upstream.bornAt;
         known.entryPosition = position;
-        return position > known.gonePosition ? "present" : "gone";
+        return position > known.removalPosition ? "present" : "gone";
     }
 
-    applyRemoval(name: string, position: number): RegistryVerdict {
-        const known = this.findName(name);
-        if (position <= known.gonePosition) {
+    applyRemoval(name: string, position: number): RegistrationOutcome {
+        const known = this.findRegistration(name);
+        if (position <= known.removalPosition) {
             return "known";
         }
-        known.gonePosition = position;
+        known.removalPosition = position;
         return position > known.entryPosition ? "gone" : "known";
     }
 
-    /** Position of the newest entry under a name; -1 if there was none. */
+    /** Reads the position of the newest entry under a name; -1 if there was none. */
     readEntryPosition(name: string): number {
-        return this.names.get(name)?.entryPosition ?? -1;
+        return this.registrations.get(name)?.entryPosition ?? -1;
     }
 
-    private findName(name: string): RegisteredName {
-        const known = this.names.get(name) ?? { bornAt: -1, entryPosition: -1, gonePosition: -1 };
-        this.names.set(name, known);
+    private findRegistration(name: string): NameRegistration {
+        const known = this.registrations.get(name) ?? { bornAt: -1, entryPosition: -1, removalPosition: -1 };
+        this.registrations.set(name, known);
         return known;
     }
 }
--- a/packages/node/src/knowledge/sharing.ts
+++ b/packages/node/src/knowledge/sharing.ts
@@ -6,31 +6,32 @@
 import { StoreReaders, usualEntriesPauseMs } from "./readers.js";
 
 /**
- * Pauses between reads in which this VM should learn by itself what another one has read: readers tell how far they are
- * every 250 ms, less than a pause.
+ * Time in which this VM should receive on its own what another VM has read, in pauses between reads. Readers send their
+ * positions every 250 ms, which is less than a pause.
  */
-const ownReadPauses = 2;
+const catchUpPauses = 2;
 
 /**
- * A VM whose last call to the store was answered longer ago than this reads for nobody, in milliseconds: a waiting read that
- * has gone silent shows only after 2.7 s, and calls that renew claims are made every 0.4 or 1.2 s.
+ * A VM does not read for others if its last response from the store is older than this, in milliseconds. A silent
+ * connection of a long-polling read is detected only after 2.7 s; renewals of shard leases are sent every 0.4 or 1.2 s.
  */
-const maxStoreQuietMs = 1600;
+const maxStoreSilenceMs = 1600;
 
 /**
- * Shortest time between two tellings of how far this VM has read while nothing about its reading changes, as a share of the
- * pause between reads: a little less than the time between regular checks. Every answer of the store asks for one as well,
- * which would tell the same over and over.
+ * Minimum time between two reports of the read positions while `canRead` does not change, as a share of the pause
+ * between reads. This is slightly less than the housekeeping interval. Each response of the store also triggers a
+ * report, which would mostly repeat the previous one.
  */
-const tellShare = 2 / 3;
+const minReportIntervalShare = 2 / 3;
 
 /**
- * Every so many tellings one goes to all VMs, the others only near: other data centres have readers of their own, and most
- * messages of a reader among many VMs would go there. What a VM lacks still shows there in 1 s.
+ * One in this many reports goes to all VMs, the others only to the own data centre. Other data centres have readers of
+ * their own, and most messages of a reader among many VMs would go there. A VM there that lacks changes still notices
+ * it within 1 s.
  */
-const tellingsNear = 2;
+const reportsPerBroadcast = 2;
 
-/** VMs that are asked at once whether a configuration is the newest, where no VM reads for the own one. */
+/** Number of VMs that are asked at once whether a configuration is the newest, if no VM reads for this VM. */
 const maxConfirmers = 2;
 
 /** Options of {@link ChangeSharing}. */
@@ -43,78 +44,79 @@
     readonly readTime: () => number;
     readonly send: (vm: string, message: PeerMessage) => void;
     readonly broadcast: (message: PeerMessage) => void;
-    /** Sends to the VMs of the own data centre, or to all where each is linked to each. */
+    /** Sends to the VMs of the own data centre, or to all VMs if all are linked to each other. */
     readonly sendNear: (message: PeerMessage) => void;
     readonly listLinked: () => string[];
-    /** Age of the last call to the store that was answered, in milliseconds. */
+    /** Reads the time since the last call to the store that got a response, in milliseconds. */
     readonly readStoreQuietMs: () => number;
-    /** What is current of upstreams that have ended under requests. */
+    /** Lists the current crash reports. */
     readonly listCrashReports: () => CrashReport[];
-    /** Pause between two reads of the entries of upstreams, in milliseconds. @default 300 */
+    /** Pause between two reads of upstream entries from the store, in milliseconds. @default 300 */
     readonly entriesPauseMs?: number | undefined;
 }
 
-/** A VM that has read further than this one. */
-interface AheadReader {
-    readonly told: ReadPositions;
+/** Positions of a VM that has read further than this one. */
+interface VmAhead {
+    readonly positions: ReadPositions;
     readonly since: number;
 }
 
 /**
- * How what one VM reads of the store comes to the others. One VM of each data centre reads, the others follow it; a VM whose
- * reading fails follows everybody; and one that has fallen behind what a reader tells asks that one for what it lacks.
+ * Distributes what one VM reads from the store to the other VMs. One VM of each data centre reads, and the others
+ * follow it. A VM that has no reader and cannot reach the store follows all linked VMs. A VM that stays behind the
+ * reported positions of another VM asks that VM for the changes it lacks.
  */
 export class ChangeSharing {
     private readonly readers: StoreReaders;
     private readonly followers = new Set<string>();
-    private readonly followed = new Set<string>();
-    /** VMs that have read what this one has not, and since when. */
-    private readonly ahead = new Map<string, AheadReader>();
-    private couldRead = false;
-    private toldAt = -Infinity;
-    private tellings = 0;
-    /** The VM that this one takes what is read from, as last told; "own" for its own reading. */
-    private toldReader: string | undefined;
+    private readonly followedVms = new Set<string>();
+    /** VMs that have read changes which this VM lacks, and since when. */
+    private readonly vmsAhead = new Map<string, VmAhead>();
+    private reportedCanRead = false;
+    private positionsReportedAt = -Infinity;
+    private reportCount = 0;
+    /** The reader that was last logged; "own" if this VM reads the store itself. */
+    private loggedReader: string | undefined;
 
     constructor(private readonly options: ChangeSharingOptions) {
         this.readers = new StoreReaders(options);
     }
 
-    /** Passes on what has been learned just now. */
+    /** Forwards changes that were new to this VM to its followers. */
     passChanges(changes: readonly ClusterChange[]): void {
-        this.passMessage({ type: "changes", changes: [...changes] });
+        this.forwardMessage({ type: "changes", changes: [...changes] });
     }
 
-    /** Sends to the VMs for which this one reads the store, or which take word from everybody. */
-    passMessage(message: PeerMessage): void {
+    /** Sends to all followers: VMs for which this VM reads the store, and VMs that follow all others. */
+    forwardMessage(message: PeerMessage): void {
         for (const vm of this.followers) {
             this.options.send(vm, message);
         }
     }
 
-    /** What a VM is told whose link has just opened. */
+    /** Creates the messages for a VM whose link has just opened. */
     createGreeting(vm: string): PeerMessage[] {
-        const isWanted = this.followed.has(vm);
+        const isWanted = this.followedVms.has(vm);
         return [
             ...(isWanted ? [this.createFollow(true)] : []),
             this.createPositions(),
         ];
     }
 
-    receivePositions(vm: string, dataCentre: string, told: ReadPositions, canRead: boolean): void {
+    receivePositions(vm: string, dataCentre: string, positions: ReadPositions, canRead: boolean): void {
         this.readers.update(vm, dataCentre, canRead, this.options.readTime());
-        if (this.isBehind(told)) {
-            const since = this.ahead.get(vm)?.since ?? this.options.readTime();
-            this.ahead.set(vm, { told, since });
+        if (this.isBehind(positions)) {
+            const since = this.vmsAhead.get(vm)?.since ?? this.options.readTime();
+            this.vmsAhead.set(vm, { positions, since });
         }
         else {
-            this.ahead.delete(vm);
+            this.vmsAhead.delete(vm);
         }
     }
 
     receivePull(vm: string, positions: ReadPositions): void {
         this.options.send(vm, { type: "changes", changes: this.options.cluster.listChangesAfter(positions) });
-        // No position tells which reports it lacks: some may have come while it followed a VM that is gone.
+        // Positions don't cover crash reports. The VM may have missed some while it followed a VM that is gone.
         const reports = this.options.listCrashReports();
         if (reports.length > 0) {
             this.options.send(vm, { type: "crashReports", reports });
@@ -132,15 +134,15 @@
 
     removeVm(vm: string): void {
         this.followers.delete(vm);
-        this.followed.delete(vm);
+        this.followedVms.delete(vm);
         this.readers.removeVm(vm);
-        this.ahead.delete(vm);
+        this.vmsAhead.delete(vm);
         this.update();
     }
 
     /**
-     * VMs that may know whether a configuration is the newest: the one that reads for this VM, or else others that read, or
-     * any that are linked.
+     * Lists VMs that may know whether a configuration is the newest: the reader of this VM, else other readers, else
+     * any linked VMs.
      */
     listConfirmers(): string[] {
         const now = this.options.readTime();
@@ -150,10 +152,10 @@
         }
         const linked = this.options.listLinked();
         const readers = this.readers.listReaders(now).filter(vm => linked.includes(vm));
-        return listAny(readers.length > 0 ? readers : linked, maxConfirmers);
+        return listFromRandomStart(readers.length > 0 ? readers : linked, maxConfirmers);
     }
 
-    /** Looks again at who reads, and tells how far this VM has read if it does. */
+    /** Updates which VM reads for this one, and reports the positions of this VM if it reads the store. */
     update(): void {
         const { cluster, store } = this.options;
         const reader = this.readers.findReader(this.options.readTime());
@@ -166,21 +168,23 @@
         else {
             this.setFollowed(cluster.isStoreReachable ? [] : this.options.listLinked());
         }
-        this.askAhead();
+        this.askVmsAhead();
         this.sendPositions();
     }
 
     private sendPositions(): void {
         const canRead = this.canRead();
         const now = this.options.readTime();
-        const hasChanged = canRead !== this.couldRead;
-        this.couldRead = canRead;
-        if (!hasChanged && (!canRead || now - this.toldAt < this.entriesPauseMs * tellShare)) {
+        const hasChanged = canRead !== this.reportedCanRead;
+        this.reportedCanRead = canRead;
+        if (
+            !hasChanged && (!canRead || now - this.positionsReportedAt < this.entriesPauseMs * minReportIntervalShare)
+        ) {
             return;
         }
-        this.toldAt = now;
-        this.tellings += 1;
-        if (hasChanged || this.tellings % tellingsNear === 0) {
+        this.positionsReportedAt = now;
+        this.reportCount += 1;
+        if (hasChanged || this.reportCount % reportsPerBroadcast === 0) {
             this.options.broadcast(this.createPositions());
         }
         else {
@@ -193,39 +197,45 @@
     }
 
     private recordReader(reader: string): void {
-        if (reader !== this.toldReader) {
-            this.toldReader = reader;
+        if (reader !== this.loggedReader) {
+            this.loggedReader = reader;
             this.options.log.recordImportant("storeReader", { reader, linked: this.options.listLinked().length });
         }
     }
 
-    /** Asks those that have been ahead for long: this VM's own connection, or its place among their followers, is lost. */
-    private askAhead(): void {
+    /**
+     * Asks VMs that have been ahead for long for the missing changes: either this VM has lost its connection to the
+     * store, or the VM ahead no longer has it as a follower.
+     */
+    private askVmsAhead(): void {
         const now = this.options.readTime();
         const own = this.options.cluster.readPositions;
-        const ownReadMs = ownReadPauses * this.entriesPauseMs;
-        for (const [vm, { told, since }] of this.ahead) {
-            if (!this.isBehind(told)) {
-                this.ahead.delete(vm);
+        const catchUpMs = catchUpPauses * this.entriesPauseMs;
+        for (const [vm, { positions, since }] of this.vmsAhead) {
+            if (!this.isBehind(positions)) {
+                this.vmsAhead.delete(vm);
                 continue;
             }
-            if (now - since < ownReadMs) {
+            if (now - since < catchUpMs) {
                 continue;
             }
-            this.ahead.set(vm, { told, since: now });
-            this.options.log.recordImportant("behindPeer", { peer: vm, told, own });
-            this.options.send(vm, this.followed.has(vm) ? this.createFollow(true) : { type: "pull", positions: own });
+            this.vmsAhead.set(vm, { positions, since: now });
+            this.options.log.recordImportant("behindPeer", { peer: vm, told: positions, own });
+            this.options.send(
+                vm,
+                this.followedVms.has(vm) ? this.createFollow(true) : { type: "pull", positions: own },
+            );
         }
     }
 
     private canRead(): boolean {
         const { store, cluster, readStoreQuietMs } = this.options;
-        return store.isReading && cluster.isStoreReachable && readStoreQuietMs() <= maxStoreQuietMs;
+        return store.isReading && cluster.isStoreReachable && readStoreQuietMs() <= maxStoreSilenceMs;
     }
 
-    private isBehind(told: ReadPositions): boolean {
+    private isBehind(positions: ReadPositions): boolean {
         const own = this.options.cluster.readPositions;
-        return own.operator < told.operator || own.upstreams < told.upstreams;
+        return own.operator < positions.operator || own.upstreams < positions.upstreams;
     }
 
     private createPositions(): PeerMessage {
@@ -237,23 +247,23 @@
     }
 
     private setFollowed(vms: readonly string[]): void {
-        for (const vm of this.followed) {
+        for (const vm of this.followedVms) {
             if (!vms.includes(vm)) {
-                this.followed.delete(vm);
+                this.followedVms.delete(vm);
                 this.options.send(vm, this.createFollow(false));
             }
         }
         for (const vm of vms) {
-            if (!this.followed.has(vm)) {
-                this.followed.add(vm);
+            if (!this.followedVms.has(vm)) {
+                this.followedVms.add(vm);
                 this.options.send(vm, this.createFollow(true));
             }
         }
     }
 }
 
-/** Some of these VMs, others each time, so that one that does not answer is not asked alone for long. */
-function listAny(vms: readonly string[], count: number): string[] {
+/** Lists some of the VMs from a random start, so that a VM which does not reply is not asked alone repeatedly. */
+function listFromRandomStart(vms: readonly string[], count: number): string[] {
     const start = Math.floor(Math.random() * vms.length);
     return [...vms.slice(start), ...vms.slice(0, start)].slice(0, count);
 }
--- a/packages/node/src/listeners.ts
+++ b/packages/node/src/listeners.ts
@@ -4,33 +4,33 @@
 import polka, { type Polka } from "polka";
 import { CallerExchange } from "./requests/caller.js";
 
-/** What the readiness listener answers from. */
+/** Options of {@link startReadinessListener}. */
 export interface ReadinessOptions {
-    /** Where the balancer asks. */
+    /** URL path of the load balancer's readiness check. */
     readonly path: string;
-    /** Whether the balancer may send callers here. */
+    /** Whether the load balancer may send callers to this VM. */
     readonly isReady: () => boolean;
     readonly readMetrics: () => Promise<string>;
-    /** Requests that are refused since upstreams end under them. */
+    /** Lists quarantined requests, which are rejected because upstream processes ended while running them. */
     readonly listRefused: () => readonly RefusedRequest[];
-    /** Lets one of them run again. @returns Whether it was refused. */
+    /** Releases a request from quarantine. @returns Whether the request was quarantined. */
     readonly releaseRequest: (digest: string) => boolean;
 }
 
-/** Listens for callers. */
-export async function startCallers(
+/** Starts the listener for callers. */
+export async function startCallerListener(
     server: Server,
     address: ListenAddress,
     handle: (caller: CallerExchange) => void,
 ): Promise<void> {
-    // Bodies may come slowly; the request's own time bounds them.
+    // Slow uploads are allowed: the deadline of the request limits how long its body may take.
     server.requestTimeout = 0;
     const app = polka({ server, onNoMatch: (request, response) => handle(new CallerExchange(request, response)) });
     await startListening(app, address);
 }
 
-/** Listens for the balancer, and for operators: metrics, and the requests that are refused for what they do. */
-export async function startReadiness(
+/** Starts the listener for readiness checks of the load balancer, metrics and quarantined requests. */
+export async function startReadinessListener(
     server: Server,
     address: ListenAddress,
     { path, isReady, readMetrics, listRefused, releaseRequest }: ReadinessOptions,
@@ -53,7 +53,7 @@
     await startListening(app, address);
 }
 
-/** `host:port`. */
+/** Formats an address as `host:port`. */
 export function formatAddress(address: ListenAddress): string {
     return `${address.host}:${address.port}`;
 }
--- a/packages/node/src/metrics.ts
+++ b/packages/node/src/metrics.ts
@@ -3,113 +3,113 @@
 import type { ClaimEvent } from "./ownership/owning.js";
 import type { RefusalReason } from "./requests/caller.js";
 
-/** Bounds of how late timers come, in seconds: requests of the shortest aim have some 0.12 s. */
-const lagBuckets = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1];
+/** Histogram buckets for the delay of timers, in seconds. The shortest latency target is about 0.12 s. */
+const lagBucketsSeconds = [0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1];
 
-/** Accounts that have a label of their own; the requests of all others are counted together. */
+/** Maximum number of accounts with a label of their own; requests of all further accounts share one label. */
 const maxAccountLabels = 50;
 
-/** Label of requests whose account is not known, or has no label of its own. */
-const otherAccount = "other";
+/** Label of requests whose account is unknown or has no label of its own. */
+const otherAccountLabel = "other";
 
 /** Metrics of `radishreel-node`. */
 export class NodeMetrics {
     readonly registry = new Registry();
     private readonly refusals = new Counter({
         name: "radishreel_node_refusals_total",
-        help: "Requests that this program ended itself, by reason",
+        help: "Requests that this program rejected itself, by reason",
         labelNames: ["reason"] as const,
         registers: [this.registry],
     });
     private readonly retries = new Counter({
         name: "radishreel_node_retries_total",
-        help: "Attempts repeated inside the program, by what ended the one before",
+        help: "Retries of attempts inside the program, by the failure of the previous attempt",
         labelNames: ["after"] as const,
         registers: [this.registry],
     });
-    private readonly unreadable = new Counter({
+    private readonly unreadableRecords = new Counter({
         name: "radishreel_node_unreadable_records_total",
-        help: "Records of the store that cannot be read, by topic",
+        help: "Store records that could not be read, by topic",
         labelNames: ["topic"] as const,
         registers: [this.registry],
     });
-    private readonly claims = new Counter({
+    private readonly leaseEvents = new Counter({
         name: "radishreel_node_claims_total",
-        help: "What happened to claims of engines, by event",
+        help: "Events of shard leases, by event",
         labelNames: ["event"] as const,
         registers: [this.registry],
     });
-    private readonly version = new Gauge({
+    private readonly routingVersion = new Gauge({
         name: "radishreel_node_routing_version",
-        help: "Version of the configuration in force",
+        help: "Version of the configuration in use",
         registers: [this.registry],
     });
 
-    private readonly frames = new Counter({
+    private readonly peerFrames = new Counter({
         name: "radishreel_node_peer_frames_total",
         help: "Heartbeats and messages between VMs, by type",
         labelNames: ["direction", "type"] as const,
         registers: [this.registry],
     });
-    private readonly bytes = new Counter({
+    private readonly peerBytes = new Counter({
         name: "radishreel_node_peer_bytes_total",
-        help: "Bytes between VMs, the framing included",
+        help: "Bytes sent between VMs, including framing",
         labelNames: ["direction"] as const,
         registers: [this.registry],
     });
     private readonly storeCalls = new Counter({
         name: "radishreel_node_store_calls_total",
-        help: "Calls to the store, refused and unanswered ones too, by what they ask",
+        help: "Calls to the store, including rejected and unanswered ones, by kind of call",
         labelNames: ["kind"] as const,
         registers: [this.registry],
     });
     private readonly choices = new Counter({
         name: "radishreel_node_choices_total",
-        help: "Times that all upstreams of a service were compared for one request",
+        help: "Comparisons of all upstreams of a service for one request",
         registers: [this.registry],
     });
     private readonly redirects = new Counter({
         name: "radishreel_node_redirects_total",
-        help: "Times that a request chose anew, since its engine was busier than this VM knew",
+        help: "Times that a request chose another upstream because its engine was busier than this VM knew",
         registers: [this.registry],
     });
     private readonly upstreamEnds = new Counter({
         name: "radishreel_node_upstream_ends_total",
-        help: "Upstreams whose process ended while requests of this VM ran there, by service",
+        help: "Upstream processes that ended while they ran requests of this VM, by service",
         labelNames: ["service"] as const,
         registers: [this.registry],
     });
-    private readonly rests = new Counter({
+    private readonly upstreamBackoffs = new Counter({
         name: "radishreel_node_upstream_rests_total",
-        help: "Answers by which an upstream asked this VM for rest",
+        help: "Responses in which an upstream requested backoff from this VM",
         registers: [this.registry],
     });
-    private readonly suspects = new Gauge({
+    private readonly suspectRequests = new Gauge({
         name: "radishreel_node_suspected_requests",
-        help: "Requests under which upstreams have ended lately, as far as this VM knows",
+        help: "Requests that this VM suspects because upstream processes recently ended while running them",
         registers: [this.registry],
     });
-    private readonly suspectsDropped = new Gauge({
+    private readonly suspectRequestsDropped = new Gauge({
         name: "radishreel_node_suspected_requests_dropped",
-        help: "Such requests that were forgotten for want of room since the start",
+        help: "Suspect requests that were dropped from a full table since the start",
         registers: [this.registry],
     });
-    private readonly accounts = new Counter({
+    private readonly accountRequests = new Counter({
         name: "radishreel_node_account_requests_total",
-        help: "Requests of client accounts, by account and by what became of them when they came",
+        help: "Requests of client accounts, by account and by the verdict on their arrival",
         labelNames: ["account", "verdict"] as const,
         registers: [this.registry],
     });
     private readonly accountLabels = new Set<string>();
     private readonly configurationAge = new Gauge({
         name: "radishreel_node_configuration_age_seconds",
-        help: "Time since the configuration in force was known to be the newest",
+        help: "Time since the configuration in use was last confirmed to be the newest",
         registers: [this.registry],
     });
-    private readonly lag = new Histogram({
+    private readonly timerLag = new Histogram({
         name: "radishreel_node_timer_lag_seconds",
-        help: "How late the timer of regular checks came",
-        buckets: lagBuckets,
+        help: "Delay of the housekeeping timer",
+        buckets: lagBucketsSeconds,
         registers: [this.registry],
     });
 
@@ -117,7 +117,7 @@
         const registers = [this.registry];
         new Gauge({
             name: "radishreel_node_processor_seconds",
-            help: "Processor time used since the start",
+            help: "Processor time used since the start of the process",
             registers,
             collect() {
                 const { user, system } = process.cpuUsage();
@@ -126,21 +126,21 @@
         });
     }
 
-    recordAccount(account: string | undefined, verdict: AccountVerdict): void {
-        this.accounts.inc({ account: this.readAccountLabel(account), verdict });
+    recordAccountRequest(account: string | undefined, verdict: AccountVerdict): void {
+        this.accountRequests.inc({ account: this.readAccountLabel(account), verdict });
     }
 
-    /** @param ageMs In milliseconds; infinite before the first word of it. */
+    /** @param ageMs Age in milliseconds; infinite before the first confirmation. */
     setConfigurationAge(ageMs: number): void {
         this.configurationAge.set(ageMs / 1000);
     }
 
     private readAccountLabel(account: string | undefined): string {
         if (account === undefined) {
-            return otherAccount;
+            return otherAccountLabel;
         }
         if (!this.accountLabels.has(account) && this.accountLabels.size >= maxAccountLabels) {
-            return otherAccount;
+            return otherAccountLabel;
         }
         this.accountLabels.add(account);
         return account;
@@ -155,11 +155,11 @@
     }
 
     recordFrame(direction: "sent" | "received", type: string): void {
-        this.frames.inc({ direction, type });
+        this.peerFrames.inc({ direction, type });
     }
 
     recordBytes(direction: "sent" | "received", count: number): void {
-        this.bytes.inc({ direction }, count);
+        this.peerBytes.inc({ direction }, count);
     }
 
     recordStoreCall(kind: string): void {
@@ -174,32 +174,32 @@
         this.redirects.inc();
     }
 
-    recordRest(): void {
-        this.rests.inc();
+    recordBackoff(): void {
+        this.upstreamBackoffs.inc();
     }
 
     recordUpstreamEnd(service: string): void {
         this.upstreamEnds.inc({ service });
     }
 
-    setSuspects(count: number, dropped: number): void {
-        this.suspects.set(count);
-        this.suspectsDropped.set(dropped);
+    setSuspectRequests(count: number, dropped: number): void {
+        this.suspectRequests.set(count);
+        this.suspectRequestsDropped.set(dropped);
     }
 
-    recordLag(ms: number): void {
-        this.lag.observe(ms / 1000);
+    recordTimerLag(ms: number): void {
+        this.timerLag.observe(ms / 1000);
     }
 
-    recordUnreadable(topic: string): void {
-        this.unreadable.inc({ topic });
+    recordUnreadableRecord(topic: string): void {
+        this.unreadableRecords.inc({ topic });
     }
 
-    recordClaimEvent(event: ClaimEvent): void {
-        this.claims.inc({ event });
+    recordLeaseEvent(event: ClaimEvent): void {
+        this.leaseEvents.inc({ event });
     }
 
     setRoutingVersion(version: number): void {
-        this.version.set(version);
+        this.routingVersion.set(version);
     }
 }
--- a/packages/node/src/options.ts
+++ b/packages/node/src/options.ts
@@ -4,38 +4,42 @@
 import type { LineSink } from "./decisions.js";
 import type { ClusterStore, EngineOrders, RequestDialect, ShardClaims } from "./ports.js";
 
-/** Settings of a VM's program. */
+/** Settings of {@link NodeProgram}. */
 export interface NodeSettings {
-    /** Name of this VM; it stays over restarts. */
+    /** Name of this VM; the same after a restart. */
     readonly vm: string;
     readonly dataCentre: string;
     readonly callers: ListenAddress;
     readonly readiness: ListenAddress;
     readonly readinessPath: string;
     readonly peers: ListenAddress;
-    /** Addresses of some other VMs' listeners for peers. */
+    /** Addresses of the peer listeners of some other VMs. */
     readonly seeds: readonly string[];
-    /** Shared by all VMs of one deployment. */
+    /** Secret for links between VMs, the same on all VMs of a deployment. */
     readonly secret: string;
     readonly retryRatio: number;
     readonly retrySlack: number;
     readonly retryWindowMs: number;
-    /** What the operator asks of client accounts. @default keys count until their withdrawal is heard of */
+    /** Bounds for client accounts. @default a key is accepted until this VM learns that the key was withdrawn */
     readonly accounts?: AccountBounds;
+    /** Minimum time between orders of two holders of the same shard, in milliseconds. */
     readonly turnMs: number;
-    /** Whether all VMs start for the first time. @default false */
+    /** Whether all VMs of the deployment start for the first time. @default false */
     readonly isFirstStart?: boolean;
-    /** Time between the request to stop and the end of the process, in milliseconds. */
+    /** Time between the stop signal and the end of the process, in milliseconds. */
     readonly graceMs: number;
-    /** Pause between two reads of the entries of upstreams, in milliseconds. @default 300 */
+    /** Pause between two reads of upstream entries from the store, in milliseconds. @default 300 */
     readonly entriesPauseMs?: number;
-    /** Time after a new version of an adapter in which a request may begin on an older one, in milliseconds. @default 5000 */
+    /**
+     * How long requests may start on an older adapter version once a new one is known, in milliseconds.
+     * @default 5000
+     */
     readonly replacedMs?: number;
-    /** How long requests wait for a process that has just started to read routes and upstreams, in milliseconds. @default 300 */
+    /** How long requests wait until a new process has read routes and upstreams, in milliseconds. @default 300 */
     readonly startWaitMs?: number;
 }
 
-/** What a VM's program is built from. */
+/** Options of {@link NodeProgram}. */
 export interface NodeOptions {
     readonly settings: NodeSettings;
     readonly store: ClusterStore;
@@ -43,12 +47,12 @@
     readonly orders: EngineOrders;
     readonly dialect: RequestDialect;
     readonly sink: LineSink;
-    /** The clock by which the store tells as of when it was read. @default a clock of this process */
+    /** Clock on which the store gives the time of its reads. @default a clock of this process */
     readonly bootClock?: BootClock;
 }
 
-/** Bounds of accounts where the operator names none. */
-export const usualAccountBounds: AccountBounds = {
+/** Bounds for client accounts if the settings have none. */
+export const defaultAccountBounds: AccountBounds = {
     isRevocationStrict: false,
     revocationMs: 5000,
     configurationMs: 3000,
--- a/packages/node/src/pressure.ts
+++ b/packages/node/src/pressure.ts
@@ -2,90 +2,91 @@
 import type { DecisionLog } from "./decisions.js";
 import type { CallerExchange } from "./requests/caller.js";
 
-/** Timers that come later than this are told, in milliseconds: a request of the shortest aim has lost most of it then. */
-const tellLagMs = 100;
+/** Timer delay that is logged as overload, in milliseconds: it uses up most of the shortest latency target. */
+const overloadLagMs = 100;
 
-/** How often lateness is told at most, and what a VM does at least, in milliseconds. */
-const tellPauseMs = 5000;
+/** Minimum time between two overload lines, and maximum time between two lines of any kind, in milliseconds. */
+const reportIntervalMs = 5000;
 
-/** Options of {@link PressureWatch}. */
-export interface PressureWatchOptions {
+/** Options of {@link OverloadMonitor}. */
+export interface OverloadMonitorOptions {
     readonly log: DecisionLog;
     readonly readTime: () => number;
     /** Processor time used since the start, in milliseconds. @default that of this process */
     readonly readProcessorMs?: () => number;
-    /** How often the process was woken since the start. @default that of this process */
-    readonly countWakes?: () => number;
+    /** Iterations of the event loop since the start. @default that of this process */
+    readonly countLoopIterations?: () => number;
     /** Time between two checks, in milliseconds. */
     readonly intervalMs: number;
     readonly onLag: (ms: number) => void;
 }
 
 /**
- * Watches whether this VM keeps up: how late the timer of regular checks comes. When it comes too late, and every 5 s, it tells
- * what the VM did since it last told: processor time, wakes, and work by kind. The lines of a process add up to all it did.
+ * Detects overload of this process by the delay of the housekeeping timer. When the timer is too late, and at least
+ * every 5 s, the monitor logs what the process did since its previous line: processor time, iterations of the event
+ * loop, and work by kind. The sum over all lines of a process is its total work.
  */
-export class PressureWatch {
+export class OverloadMonitor {
     private readonly readProcessorMs: () => number;
-    private readonly countWakes: () => number;
+    private readonly countLoopIterations: () => number;
     private readonly counts = new Map<string, number>();
     private checkedAt: number;
-    private toldAt: number;
-    private pressedAt: number;
-    private toldProcessorMs: number;
-    private toldWakes: number;
+    private reportedAt: number;
+    private overloadReportedAt: number;
+    private reportedProcessorMs: number;
+    private reportedIterations: number;
 
-    constructor(private readonly options: PressureWatchOptions) {
+    constructor(private readonly options: OverloadMonitorOptions) {
         this.readProcessorMs = options.readProcessorMs ?? readProcessorMs;
-        this.countWakes = options.countWakes ?? countWakes;
+        this.countLoopIterations = options.countLoopIterations ?? countLoopIterations;
         this.checkedAt = options.readTime();
-        this.toldAt = this.checkedAt;
-        this.pressedAt = this.checkedAt;
-        // What a process needs to start counts as well.
-        this.toldProcessorMs = 0;
-        this.toldWakes = 0;
+        this.reportedAt = this.checkedAt;
+        this.overloadReportedAt = this.checkedAt;
+        // The first line includes the work of starting the process.
+        this.reportedProcessorMs = 0;
+        this.reportedIterations = 0;
     }
 
-    /** Counts something that takes processor time. */
+    /** Counts work that takes processor time. */
     recordWork(kind: string, count = 1): void {
         this.counts.set(kind, (this.counts.get(kind) ?? 0) + count);
     }
 
-    /** Counts what a caller was sent of an upstream's answer. */
-    recordAnswer({ partsPassed, bytesPassed }: CallerExchange): void {
+    /** Counts the parts and bytes of an upstream's response that were sent to the caller. */
+    recordResponse({ partsPassed, bytesPassed }: CallerExchange): void {
         this.recordWork("parts passed", partsPassed);
         this.recordWork("bytes passed", bytesPassed);
     }
 
-    /** Is called by the timer of regular checks. */
+    /** Called by the housekeeping timer. */
     check(): void {
         const { readTime, intervalMs, onLag } = this.options;
         const now = readTime();
         const lagMs = Math.max(0, now - this.checkedAt - intervalMs);
         this.checkedAt = now;
         onLag(lagMs);
-        if (lagMs > tellLagMs && now - this.pressedAt >= tellPauseMs) {
-            this.pressedAt = now;
+        if (lagMs > overloadLagMs && now - this.overloadReportedAt >= reportIntervalMs) {
+            this.overloadReportedAt = now;
             this.recordLine("pressed", now, lagMs);
         }
-        else if (now - this.toldAt >= tellPauseMs) {
+        else if (now - this.reportedAt >= reportIntervalMs) {
             this.recordLine("work", now, lagMs);
         }
     }
 
     private recordLine(event: string, now: number, lagMs: number): void {
         const processorMs = this.readProcessorMs();
-        const wakes = this.countWakes();
+        const iterations = this.countLoopIterations();
         this.options.log.recordImportant(event, {
             lagMs: Math.round(lagMs),
-            sinceMs: Math.round(now - this.toldAt),
-            processorMs: Math.round(processorMs - this.toldProcessorMs),
-            wakes: wakes - this.toldWakes,
+            sinceMs: Math.round(now - this.reportedAt),
+            processorMs: Math.round(processorMs - this.reportedProcessorMs),
+            wakes: iterations - this.reportedIterations,
             work: Object.fromEntries(this.counts),
         });
-        this.toldAt = now;
-        this.toldProcessorMs = processorMs;
-        this.toldWakes = wakes;
+        this.reportedAt = now;
+        this.reportedProcessorMs = processorMs;
+        this.reportedIterations = iterations;
         this.counts.clear();
     }
 }
@@ -95,7 +96,7 @@
     return (user + system) / 1000;
 }
 
-/** Turns of the event loop. The module of this object is not loaded for it, which each start would pay for. */
-function countWakes(): number {
+/** Reads the iterations of the event loop from the global `performance`: loading `node:perf_hooks` slows each start. */
+function countLoopIterations(): number {
     return (performance as unknown as Performance).nodeTiming.uvMetricsInfo.loopCount;
 }
--- a/packages/node/src/program.ts
+++ b/packages/node/src/program.ts
@@ -9,88 +9,89 @@
 import { DecisionLog } from "./decisions.js";
 import { ClusterState } from "./knowledge/cluster.js";
 import { DepartureSharing } from "./knowledge/departures.js";
-import { IsolationWatch } from "./knowledge/isolation.js";
+import { IsolationMonitor } from "./knowledge/isolation.js";
 import { ChangeSharing } from "./knowledge/sharing.js";
 import { programMachine } from "./life.js";
 import { PeerDispatcher } from "./links/dispatcher.js";
 import { HubWatch } from "./links/hub.js";
 import type { PeerMessage } from "./links/messages.js";
 import { Peers } from "./links/peers.js";
-import { formatAddress, startCallers, startReadiness } from "./listeners.js";
+import { formatAddress, startCallerListener, startReadinessListener } from "./listeners.js";
 import { NodeMetrics } from "./metrics.js";
-import { type NodeOptions, usualAccountBounds } from "./options.js";
+import { defaultAccountBounds, type NodeOptions } from "./options.js";
 import { type Handover, Owning } from "./ownership/owning.js";
 import type { ClusterChange, ClusterReceiver, Member, UnreadableRecord } from "./ports.js";
-import { PressureWatch } from "./pressure.js";
+import { OverloadMonitor } from "./pressure.js";
 import { type AdmissionMessage, Admissions } from "./requests/admissions.js";
 import { RetryBudgets } from "./requests/budgets.js";
 import type { CallerExchange } from "./requests/caller.js";
 import { ConnectionPool } from "./requests/connections.js";
 import { Serving } from "./requests/serving.js";
 
-/** How often slow checks run, in milliseconds. */
+/** Interval of housekeeping, in milliseconds. */
 const housekeepingMs = 250;
 
 /**
- * How long a VM opens no links when all start for the first time, in milliseconds: they start within 0.3 s of each other, and
- * each would link to the first ones that it reads of. Until then each reads the store by itself, so it must not be longer.
+ * How long a VM opens no links when all VMs start for the first time, in milliseconds. The VMs start within 0.3 s of
+ * each other, and each would link to the first VMs that it reads about. Without links every VM reads the store itself,
+ * so the delay must not be longer.
  */
-const firstStartMs = 500;
+const firstStartLinkDelayMs = 500;
 
-/** After this long in a planned stop no caller is sent here any more, in milliseconds: two checks of the balancer missed. */
+/** Time until the load balancer sends no more callers to a stopping VM, in milliseconds: two failed checks. */
 const balancerNoticeMs = 2300;
 
-/** Part of the grace time after which requests that still run are broken off: the platform kills soon after. */
-const graceShare = 0.93;
+/** Share of the grace time after which running requests are cut off: the platform kills the process soon after. */
+const requestGraceShare = 0.93;
 
-/** Longest wait for the store in a planned stop, in milliseconds. */
-const releaseWaitMs = 800;
+/** Maximum wait for the release of shards in a planned stop, in milliseconds. */
+const maxReleaseWaitMs = 800;
 
-/** Most of what is wrong with a record that is written to the log, in characters: another writer decides its length. */
-const maxReasonLength = 300;
+/** Maximum logged length of the reason why a record is unreadable, in characters: other writers influence it. */
+const maxReasonChars = 300;
 
-/** VMs assumed before any is known: the retry budget is divided among them. */
-const minVms = 4;
+/** Minimum number of VMs among which the retry budget is divided, for use before other VMs are known. */
+const minAssumedVms = 4;
 
-/** One VM's data path and control path. */
+/** The data path and the control path of one VM. */
 export class NodeProgram implements ClusterReceiver {
-    private readonly life = interpret(programMachine, () => {});
+    private readonly lifecycle = interpret(programMachine, () => {});
     private readonly log: DecisionLog;
     private readonly metrics = new NodeMetrics();
     private readonly view: FleetView;
     private readonly cluster: ClusterState;
-    private readonly departures: DepartureSharing;
-    private readonly pool = new ConnectionPool(() => this.pressure.recordWork("upstream connection"));
-    private readonly guard: CrashGuard;
+    private readonly leavingUpstreams: DepartureSharing;
+    private readonly pool = new ConnectionPool(() => this.overloadMonitor.recordWork("upstream connection"));
+    private readonly crashGuard: CrashGuard;
     private readonly serving: Serving;
     private readonly peers: Peers;
     private readonly callerServer: Server;
     private readonly readinessServer = createServer();
     private readonly timers: NodeJS.Timeout[] = [];
     private readonly budgets: RetryBudgets;
-    private readonly sharing: ChangeSharing;
-    private readonly isolation = new IsolationWatch();
-    private readonly hub = new HubWatch({ startedAt: readNow() });
-    private readonly pressure: PressureWatch;
+    private readonly changeSharing: ChangeSharing;
+    private readonly isolationMonitor = new IsolationMonitor();
+    private readonly hubMonitor = new HubWatch({ startedAt: readNow() });
+    private readonly overloadMonitor: OverloadMonitor;
     private readonly admissions: Admissions;
     private readonly bootClock: BootClock;
-    private readonly accounts: AccountGuard;
-    /** Tells this process from others of the same VM. */
+    private readonly accountGuard: AccountGuard;
+    /** Distinguishes this process from other processes of the same VM. */
     private readonly incarnation = Date.now();
     private readonly dispatcher: PeerDispatcher;
-    private owning: Owning | undefined;
-    private past: Member | undefined;
+    private ownership: Owning | undefined;
+    private previousMember: Member | undefined;
     private hasReadMembers = false;
     private stopping: Promise<void> | undefined;
 
     constructor(private readonly options: NodeOptions) {
         const { settings, sink } = options;
         this.log = new DecisionLog({ program: "radishreel-node", vm: settings.vm, sink, readTime: readNow });
-        this.pressure = new PressureWatch({
+        this.overloadMonitor = new OverloadMonitor({
             log: this.log,
             readTime: readNow,
             intervalMs: housekeepingMs,
-            onLag: ms => this.metrics.recordLag(ms),
+            onLag: ms => this.metrics.recordTimerLag(ms),
         });
         this.budgets = new RetryBudgets({
             ratio: settings.retryRatio,
@@ -106,23 +107,23 @@
             readBoot: () => this.bootClock.read(),
             onChange: () => this.receiveClusterChange(),
             onUpstreamGone: id => this.serving.removeUpstream(id),
-            onUpstream: upstream => this.guard.receiveEntry(upstream),
+            onUpstream: upstream => this.crashGuard.receiveEntry(upstream),
             onVersion: () => this.serving.receiveVersion(),
             onMember: member => this.receiveMember(member),
         });
-        this.departures = new DepartureSharing({
+        this.leavingUpstreams = new DepartureSharing({
             view: this.view,
             log: this.log,
             readTime: readNow,
             broadcast: message => this.peers.broadcast(message),
             onChange: () => this.receiveClusterChange(),
         });
-        this.guard = this.createGuard();
-        this.accounts = this.createAccounts();
+        this.crashGuard = this.createCrashGuard();
+        this.accountGuard = this.createAccountGuard();
         this.admissions = new Admissions({ readTime: readNow, send: (vm, message) => this.sendAdmission(vm, message) });
         this.serving = this.createServing();
         this.peers = this.createPeers();
-        this.sharing = new ChangeSharing({
+        this.changeSharing = new ChangeSharing({
             vm: settings.vm,
             dataCentre: settings.dataCentre,
             cluster: this.cluster,
@@ -133,100 +134,100 @@
             broadcast: message => this.peers.broadcast(message),
             sendNear: message => this.peers.sendNear(message),
             listLinked: () => this.peers.listConnected(),
-            readStoreQuietMs: () => this.owning?.renewalAgeMs ?? 0,
-            listCrashReports: () => this.guard.listReports(),
+            readStoreQuietMs: () => this.ownership?.renewalAgeMs ?? 0,
+            listCrashReports: () => this.crashGuard.listReports(),
             entriesPauseMs: settings.entriesPauseMs,
         });
         this.dispatcher = this.createDispatcher();
         this.callerServer = createServer({ keepAlive: true, noDelay: true });
-        this.callerServer.on("connection", () => this.pressure.recordWork("caller connection"));
+        this.callerServer.on("connection", () => this.overloadMonitor.recordWork("caller connection"));
     }
 
-    /** `host:port` of the listener for callers, once it listens. */
+    /** `host:port` of the listener for callers; available once the listener has started. */
     get callerAddress(): string {
         const { port } = this.callerServer.address() as AddressInfo;
         return `${this.options.settings.callers.host}:${port}`;
     }
 
-    /** `host:port` of the listener for the balancer and for operators, once it listens. */
+    /** `host:port` of the listener for the load balancer and for operators; available once the listener has started. */
     get readinessAddress(): string {
         const { port } = this.readinessServer.address() as AddressInfo;
         return `${this.options.settings.readiness.host}:${port}`;
     }
 
-    /** Upstreams that are registered as far as this VM knows. */
+    /** Counts the registered upstreams that this VM knows. */
     countUpstreams(): number {
         return this.view.listUpstreams().length;
     }
 
-    /** Names of the upstreams that are registered as far as this VM knows. */
+    /** Lists the names of the registered upstreams that this VM knows. */
     listUpstreams(): string[] {
         return this.view.listUpstreams().map(({ upstream }) => upstream.name);
     }
 
-    /** Upstreams of a service that may get new requests. */
+    /** Counts the upstreams of a service that may get new requests. */
     countUsable(service: string): number {
         return this.view.listUsable(service).length;
     }
 
-    /** Requests under which upstreams have ended lately, as far as this VM knows. */
+    /** Counts the requests that this VM suspects because upstream processes recently ended while running them. */
     countSuspects(): number {
-        return this.guard.requestCount;
+        return this.crashGuard.requestCount;
     }
 
-    /** Whether this VM reads the store by itself, and not through another one of its data centre. */
+    /** Whether this VM reads the store itself instead of following another VM of its data centre. */
     get isReading(): boolean {
         return this.options.store.isReading;
     }
 
-    /** Requests that have no whole answer yet. */
+    /** Counts the requests whose response is not complete yet. */
     countOpen(): number {
         return this.serving.openCount;
     }
 
-    /** Whether the balancer may send callers here. */
+    /** Whether the load balancer may send callers to this VM. */
     get isReady(): boolean {
-        return this.life.machine.current === "serving" && !this.isolation.isIsolated;
+        return this.lifecycle.machine.current === "serving" && !this.isolationMonitor.isIsolated;
     }
 
-    /** @param detail What else the first line of the log says. */
+    /** @param detail Additional fields of the first log line. */
     async start(detail: object = {}): Promise<void> {
         const { settings, store } = this.options;
         this.log.recordImportant("start", { dataCentre: settings.dataCentre, pid: process.pid, ...detail });
-        await startCallers(this.callerServer, settings.callers, caller => this.handleCaller(caller));
-        await startReadiness(this.readinessServer, settings.readiness, {
+        await startCallerListener(this.callerServer, settings.callers, caller => this.handleCaller(caller));
+        await startReadinessListener(this.readinessServer, settings.readiness, {
             path: settings.readinessPath,
             isReady: () => this.isReady,
             readMetrics: () => this.metrics.registry.metrics(),
-            listRefused: () => this.guard.listRefused(),
-            releaseRequest: digest => this.guard.release(digest),
+            listRefused: () => this.crashGuard.listRefused(),
+            releaseRequest: digest => this.crashGuard.release(digest),
         });
         await this.peers.start();
         if (settings.isFirstStart === true) {
             this.peers.pauseOpening();
-            this.timers.push(setTimeout(() => this.peers.resumeOpening(), firstStartMs));
+            this.timers.push(setTimeout(() => this.peers.resumeOpening(), firstStartLinkDelayMs));
         }
         this.setSeeds(settings.seeds);
-        this.owning = this.createOwning();
+        this.ownership = this.createOwnership();
         store.start(this);
         this.timers.push(
             setInterval(() => this.runHousekeeping(), housekeepingMs),
         );
     }
 
-    /** Takes the addresses of other VMs, at start and when settings change. */
+    /** Adds the addresses of other VMs, at the start and when the settings change. */
     setSeeds(seeds: readonly string[]): void {
         for (const address of seeds) {
             this.peers.addPeer({ id: undefined, address });
         }
     }
 
-    /** Records a change of the settings file. */
+    /** Logs a change of the settings file. */
     recordReload(detail: object): void {
         this.log.recordImportant("reload", detail);
     }
 
-    /** Stops without cutting anything off. Asked again, it waits for the same stop. */
+    /** Stops once running requests have finished or the grace time is over. Further calls wait for the same stop. */
     stop(): Promise<void> {
         this.stopping ??= this.runStop();
         return this.stopping;
@@ -235,16 +236,16 @@
     /** Counts a call to the store. */
     recordStoreCall(kind: string): void {
         this.metrics.recordStoreCall(kind);
-        this.pressure.recordWork(`store ${kind}`);
+        this.overloadMonitor.recordWork(`store ${kind}`);
     }
 
     receiveChanges(changes: readonly ClusterChange[], from?: string): void {
-        const fresh = this.cluster.applyChanges(changes, from);
-        if (fresh.length === 0) {
+        const newChanges = this.cluster.applyChanges(changes, from);
+        if (newChanges.length === 0) {
             return;
         }
-        this.sharing.passChanges(fresh);
-        this.receiveVersions(fresh);
+        this.changeSharing.passChanges(newChanges);
+        this.receiveVersions(newChanges);
     }
 
     receiveUpstreamList(names: ReadonlySet<string>, position: number): void {
@@ -252,29 +253,29 @@
     }
 
     receiveUnreadable(record: UnreadableRecord): void {
-        this.metrics.recordUnreadable(record.topic);
-        this.log.recordImportant("recordUnreadable", { ...record, why: record.why.slice(0, maxReasonLength) });
+        this.metrics.recordUnreadableRecord(record.topic);
+        this.log.recordImportant("recordUnreadable", { ...record, why: record.why.slice(0, maxReasonChars) });
     }
 
     receiveCrashReports(reports: readonly CrashReport[]): void {
-        const fresh = this.guard.receiveReports(reports);
-        if (fresh.length > 0) {
-            this.sharing.passMessage({ type: "crashReports", reports: fresh });
+        const newReports = this.crashGuard.receiveReports(reports);
+        if (newReports.length > 0) {
+            this.changeSharing.forwardMessage({ type: "crashReports", reports: newReports });
         }
     }
 
     receiveConfirmed(asOf: number): void {
-        this.accounts.recordConfirmed(asOf);
+        this.accountGuard.recordConfirmed(asOf);
     }
 
     receiveMembersRead(): void {
         this.hasReadMembers = true;
-        this.log.recordImportant("past", { ...this.past });
-        if (this.past?.generation !== undefined) {
-            // Whoever took over what this VM owned must hear that it runs again.
+        this.log.recordImportant("past", { ...this.previousMember });
+        if (this.previousMember?.generation !== undefined) {
+            // VMs that took over the shards of this VM must learn that this VM runs again.
             this.peers.setHub(true);
         }
-        this.owning?.start(this.past);
+        this.ownership?.start(this.previousMember);
         this.appendMember({});
     }
 
@@ -283,14 +284,14 @@
             this.log.recordImportant(isReachable ? "storeRegained" : "storeLost", { detail });
         }
         this.cluster.setReachable(isReachable);
-        this.sharing.update();
+        this.changeSharing.update();
     }
 
     private receiveVersions(changes: readonly ClusterChange[]): void {
         for (const change of changes) {
             if (change.kind === "version") {
                 this.log.recordImportant("adapterVersion", { key: change.key, version: change.version });
-                this.owning?.engines.updateVersion(change.key, change.version);
+                this.ownership?.engines.updateVersion(change.key, change.version);
             }
         }
     }
@@ -303,11 +304,11 @@
         this.metrics.setRoutingVersion(table.routing.version);
         this.callerServer.keepAliveTimeout = table.routing.limits.idleTimeoutMs;
         this.callerServer.headersTimeout = table.routing.limits.headerTimeoutMs + 1000;
-        if (this.life.machine.current === "starting") {
-            this.life.send("ready");
+        if (this.lifecycle.machine.current === "starting") {
+            this.lifecycle.send("ready");
             this.log.recordImportant("ready", { version: table.routing.version });
         }
-        this.owning?.update();
+        this.ownership?.update();
         this.serving.receiveChange();
     }
 
@@ -318,20 +319,20 @@
             view: this.view,
             cluster: this.cluster,
             budgets: service => this.budgets.read(service),
-            countVms: () => Math.max(minVms, this.peers.countLikely() + 1),
+            countVms: () => Math.max(minAssumedVms, this.peers.countLikely() + 1),
             dialect,
             pool: this.pool,
             log: this.log,
             readTime: readNow,
             readBoot: () => this.bootClock.read(),
             admissions: this.admissions,
-            guard: this.guard,
-            accounts: this.accounts,
+            guard: this.crashGuard,
+            accounts: this.accountGuard,
             isLinked: vm => vm === settings.vm || this.peers.isConnected(vm),
             sendPreparation: ({ engine, want }) => this.sendToOwner(engine, { type: "prepare", engine, want }),
             sendMissing: (engine, key) => this.sendToOwner(engine, { type: "missing", engine, key }),
-            onLeaving: upstream => this.departures.recordAnswer(upstream),
-            onRest: () => this.metrics.recordRest(),
+            onLeaving: upstream => this.leavingUpstreams.recordAnswer(upstream),
+            onRest: () => this.metrics.recordBackoff(),
             onRefusal: reason => this.metrics.recordRefusal(reason),
             onRetry: after => this.metrics.recordRetry(after),
             onChoice: () => this.recordChoice(),
@@ -340,7 +341,7 @@
         });
     }
 
-    private createGuard(): CrashGuard {
+    private createCrashGuard(): CrashGuard {
         const { settings, store } = this.options;
         return new CrashGuard({
             vm: settings.vm,
@@ -357,25 +358,25 @@
         });
     }
 
-    private createAccounts(): AccountGuard {
+    private createAccountGuard(): AccountGuard {
         const { settings, store } = this.options;
         return new AccountGuard({
             vm: settings.vm,
-            bounds: settings.accounts ?? usualAccountBounds,
+            bounds: settings.accounts ?? defaultAccountBounds,
             cluster: this.cluster,
             readBoot: () => this.bootClock.read(),
             isReading: () => store.isReading,
-            listConfirmers: () => this.sharing.listConfirmers(),
+            listConfirmers: () => this.changeSharing.listConfirmers(),
             listCoordinators: () => this.listCoordinators().filter(vm => this.admissions.isResponsive(vm)),
             countVms: () => this.peers.countLikely() + 1,
             send: (vm, message) => this.peers.send(vm, message),
-            onVerdict: (account, verdict) => this.metrics.recordAccount(account, verdict),
+            onVerdict: (account, verdict) => this.metrics.recordAccountRequest(account, verdict),
         });
     }
 
     /**
-     * VMs that can coordinate something for all VMs: among few VMs any of them; beyond that owners of engines, to which all
-     * are linked.
+     * Lists VMs that can act as coordinators for all VMs: any VM if all VMs are linked to each other, else owners of
+     * engines, to which all VMs are linked.
      */
     private listCoordinators(): string[] {
         const known = [this.options.settings.vm, ...this.peers.listHeirs()];
@@ -405,13 +406,20 @@
             onBytes: (direction, count) => this.metrics.recordBytes(direction, count),
             createGreeting: vm => this.createGreeting(vm),
             onMessage: (vm, message) => this.receivePeerMessage(vm, message),
-            onStart: () => this.owning?.receiveStart(),
+            onStart: () => this.ownership?.receiveStart(),
             onClose: vm => this.receivePeerClose(vm),
         });
     }
 
     private createDispatcher(): PeerDispatcher {
-        const { peers, sharing, departures, guard, accounts, admissions } = this;
+        const {
+            peers,
+            changeSharing: sharing,
+            leavingUpstreams: departures,
+            crashGuard: guard,
+            accountGuard: accounts,
+            admissions,
+        } = this;
         return new PeerDispatcher({
             peers,
             sharing,
@@ -419,15 +427,15 @@
             guard,
             accounts,
             admissions,
-            readOwning: () => this.owning,
+            readOwning: () => this.ownership,
             onChanges: (vm, changes) => this.receiveChanges(changes, vm),
             onCrashReports: reports => this.receiveCrashReports(reports),
-            onNews: (vm, news) => this.receiveNews(vm, news),
+            onNews: (vm, statuses) => this.receiveEngineStatuses(vm, statuses),
             onLeaving: vm => this.receivePeerClose(vm),
         });
     }
 
-    private createOwning(): Owning {
+    private createOwnership(): Owning {
         const { settings, claims, orders } = this.options;
         return new Owning({
             vm: settings.vm,
@@ -438,9 +446,9 @@
             readTime: readNow,
             turnMs: settings.turnMs,
             findService: name => this.cluster.routes?.findService(name),
-            sendNews: news => this.sendNews(news),
-            sendAnswer: (vm, answer) => this.sendAnswer(vm, answer),
-            onLeaving: engine => this.departures.recordAnswer(engine),
+            sendNews: statuses => this.sendEngineStatuses(statuses),
+            sendAnswer: (vm, reply) => this.sendAdmissionReply(vm, reply),
+            onLeaving: engine => this.leavingUpstreams.recordAnswer(engine),
             sendRelease: (shards, generation) => this.peers.broadcast({ type: "release", shards, generation }),
             sendQuery: query => this.peers.broadcast({ type: "claimQuery", ...query, givers: [...query.givers] }),
             incarnation: this.incarnation,
@@ -449,11 +457,11 @@
             sendHandover: handover => this.sendHandover(handover),
             countOthers: () => this.peers.countLikely(),
             recordGeneration: generation => this.appendMember({ generation }),
-            onClaimEvent: event => this.metrics.recordClaimEvent(event),
+            onClaimEvent: event => this.metrics.recordLeaseEvent(event),
         });
     }
 
-    /** Writes this VM's entry, in place of what it said before. */
+    /** Writes this VM's entry, which replaces the earlier one. */
     private appendMember(state: { readonly generation?: number; readonly hasLeft?: boolean; }): void {
         const { settings, store } = this.options;
         const { vm: id, dataCentre, peers } = settings;
@@ -465,32 +473,32 @@
             this.peers.addPeer(member);
         }
         else if (!this.hasReadMembers) {
-            this.past = member;
+            this.previousMember = member;
         }
     }
 
     private handleCaller(caller: CallerExchange): void {
-        if (this.stopping !== undefined || this.isolation.isIsolated) {
+        if (this.stopping !== undefined || this.isolationMonitor.isIsolated) {
             caller.closeAfterAnswer();
         }
-        this.pressure.recordWork("request");
-        void this.serving.handle(caller).finally(() => this.pressure.recordAnswer(caller));
+        this.overloadMonitor.recordWork("request");
+        void this.serving.handle(caller).finally(() => this.overloadMonitor.recordResponse(caller));
     }
 
     private createGreeting(vm: string): PeerMessage[] {
-        this.pressure.recordWork("link opened");
+        this.overloadMonitor.recordWork("link opened");
         return [
-            ...this.sharing.createGreeting(vm),
-            ...this.departures.createGreeting(),
-            { type: "news", news: this.owning?.engines.listNews() ?? [] },
-            ...this.guard.createGreeting(),
-            ...this.listEnginesOf(vm).map(engine => this.admissions.createRuns(engine, vm)),
+            ...this.changeSharing.createGreeting(vm),
+            ...this.leavingUpstreams.createGreeting(),
+            { type: "news", news: this.ownership?.engines.listNews() ?? [] },
+            ...this.crashGuard.createGreeting(),
+            ...this.listEnginesOwnedBy(vm).map(engine => this.admissions.createRuns(engine, vm)),
             ...(this.stopping === undefined ? [] : [{ type: "leaving" } as const]),
         ];
     }
 
-    /** Engines that a VM owns, as far as is known. */
-    private listEnginesOf(vm: string): string[] {
+    /** Lists the engines that a VM owns, as far as this VM knows. */
+    private listEnginesOwnedBy(vm: string): string[] {
         return this.view.listUpstreams().filter(({ owner }) => owner === vm).map(({ upstream }) => upstream.id);
     }
 
@@ -499,14 +507,14 @@
         this.dispatcher.dispatch(vm, message);
     }
 
-    private receiveNews(vm: string, news: readonly EngineNews[]): void {
-        for (const item of news) {
-            const before = this.view.findUpstream(item.engine);
+    private receiveEngineStatuses(vm: string, statuses: readonly EngineNews[]): void {
+        for (const status of statuses) {
+            const before = this.view.findUpstream(status.engine);
             const known = { owner: before?.owner, fence: before?.news?.fence };
-            if (this.view.updateNews(vm, item, readNow()) && item.isOwned) {
-                const isNewOwner = known.owner !== vm || known.fence !== item.fence;
+            if (this.view.updateNews(vm, status, readNow()) && status.isOwned) {
+                const isNewOwner = known.owner !== vm || known.fence !== status.fence;
                 if (isNewOwner) {
-                    this.admissions.updateOwner(item.engine, vm);
+                    this.admissions.updateOwner(status.engine, vm);
                 }
             }
         }
@@ -514,21 +522,21 @@
     }
 
     private receivePeerClose(vm: string): void {
-        this.pressure.recordWork("link lost");
-        this.sharing.removeVm(vm);
+        this.overloadMonitor.recordWork("link lost");
+        this.changeSharing.removeVm(vm);
         this.view.removeVm(vm);
         this.admissions.removeOwner(vm);
-        this.guard.removeVm(vm);
-        this.accounts.removeVm(vm);
+        this.crashGuard.removeVm(vm);
+        this.accountGuard.removeVm(vm);
         this.serving.receiveChange();
     }
 
-    private sendNews(news: EngineNews[]): void {
-        this.receiveNews(this.options.settings.vm, news);
-        this.peers.broadcast({ type: "news", news });
+    private sendEngineStatuses(statuses: EngineNews[]): void {
+        this.receiveEngineStatuses(this.options.settings.vm, statuses);
+        this.peers.broadcast({ type: "news", news: statuses });
     }
 
-    /** Sends word of a request of this VM to the owner of an engine. */
+    /** Sends a message about a request of this VM to the owner of an engine, which may be this VM. */
     private sendAdmission(vm: string, message: AdmissionMessage): boolean {
         if (vm === this.options.settings.vm) {
             this.receiveAdmission(vm, message);
@@ -538,22 +546,22 @@
     }
 
     private receiveAdmission(vm: string, message: AdmissionMessage): void {
-        if (this.owning !== undefined) {
-            this.owning.engines.receiveRequest(vm, message);
+        if (this.ownership !== undefined) {
+            this.ownership.engines.receiveRequest(vm, message);
         }
     }
 
-    /** Answers a request that asked to be let in on an engine of this VM. */
-    private sendAnswer(vm: string, answer: AdmissionAnswer): void {
+    /** Replies to a VM, which may be this VM, whose request asked for admission on an engine of this VM. */
+    private sendAdmissionReply(vm: string, reply: AdmissionAnswer): void {
         if (vm === this.options.settings.vm) {
-            this.admissions.receiveAnswer(vm, answer);
+            this.admissions.receiveAnswer(vm, reply);
         }
         else {
-            this.peers.send(vm, { type: "admission", answer });
+            this.peers.send(vm, { type: "admission", answer: reply });
         }
     }
 
-    /** Sends to the owner of an engine, which may be this VM. */
+    /** Sends a message to the owner of an engine, which may be this VM. */
     private sendToOwner(engine: string, message: PeerMessage): void {
         const owner = this.view.findUpstream(engine)?.owner;
         if (owner !== undefined) {
@@ -561,7 +569,7 @@
         }
     }
 
-    /** Sends to a VM, which may be this one. @returns Whether it could be sent. */
+    /** Sends a message to a VM, which may be this VM. @returns Whether the message could be sent. */
     private sendToVm(vm: string, message: PeerMessage): boolean {
         if (vm === this.options.settings.vm) {
             this.receivePeerMessage(vm, message);
@@ -571,63 +579,63 @@
     }
 
     private sendHandover(handover: Handover): boolean {
-        const [heir] = this.peers.listHeirs();
-        return heir !== undefined
-            && this.peers.send(heir, { type: "handover", ...handover, givers: [...handover.givers] });
+        const [target] = this.peers.listHeirs();
+        return target !== undefined
+            && this.peers.send(target, { type: "handover", ...handover, givers: [...handover.givers] });
     }
 
     private recordChoice(): void {
         this.metrics.recordChoice();
-        this.pressure.recordWork("choice");
+        this.overloadMonitor.recordWork("choice");
     }
 
     private recordFrame(direction: "sent" | "received", type: string): void {
         this.metrics.recordFrame(direction, type);
-        this.pressure.recordWork(`${direction} ${type}`);
+        this.overloadMonitor.recordWork(`${direction} ${type}`);
     }
 
     private runHousekeeping(): void {
-        this.pressure.check();
+        this.overloadMonitor.check();
         this.cluster.expireLapsed();
         this.peers.expireUnused();
-        this.guard.expireOld();
-        this.metrics.setSuspects(this.guard.requestCount, this.guard.droppedCount);
-        this.accounts.update();
-        this.metrics.setConfigurationAge(this.accounts.configurationAgeMs);
-        this.owning?.update();
-        this.peers.setHub(this.hub.update(this.owning?.engines.hasAny ?? false, readNow()));
-        this.sharing.update();
+        this.crashGuard.expireOld();
+        this.metrics.setSuspectRequests(this.crashGuard.requestCount, this.crashGuard.droppedCount);
+        this.accountGuard.update();
+        this.metrics.setConfigurationAge(this.accountGuard.configurationAgeMs);
+        this.ownership?.update();
+        this.peers.setHub(this.hubMonitor.update(this.ownership?.engines.hasAny ?? false, readNow()));
+        this.changeSharing.update();
         this.updateIsolation();
     }
 
     private updateIsolation(): void {
-        const quietMs = this.peers.readOthersQuietMs();
-        const wasIsolated = this.isolation.isIsolated;
-        const signs = {
-            hasOthers: quietMs !== undefined,
-            othersQuietMs: quietMs ?? 0,
-            storeQuietMs: this.owning?.renewalAgeMs ?? 0,
+        const othersSilenceMs = this.peers.readOthersQuietMs();
+        const wasIsolated = this.isolationMonitor.isIsolated;
+        const signals = {
+            hasOthers: othersSilenceMs !== undefined,
+            othersQuietMs: othersSilenceMs ?? 0,
+            storeQuietMs: this.ownership?.renewalAgeMs ?? 0,
             isMesh: this.peers.isMesh,
         };
-        this.isolation.update(signs);
-        if (this.isolation.isIsolated !== wasIsolated) {
-            this.log.recordImportant(wasIsolated ? "isolationEnded" : "isolated", signs);
+        this.isolationMonitor.update(signals);
+        if (this.isolationMonitor.isIsolated !== wasIsolated) {
+            this.log.recordImportant(wasIsolated ? "isolationEnded" : "isolated", signals);
         }
     }
 
     private async runStop(): Promise<void> {
         const stoppedAt = readNow();
         const { graceMs } = this.options.settings;
-        this.life.send("stop");
+        this.lifecycle.send("stop");
         this.log.recordImportant("stop", { openRequests: this.serving.openCount });
         this.serving.closeAfterAnswers();
-        const released = this.owning?.stop() ?? Promise.resolve();
+        const released = this.ownership?.stop() ?? Promise.resolve();
         this.peers.broadcast({ type: "leaving" });
         this.appendMember({ hasLeft: true });
-        await Promise.race([released, wait(releaseWaitMs)]);
+        await Promise.race([released, wait(maxReleaseWaitMs)]);
         await wait(Math.max(0, stoppedAt + balancerNoticeMs - readNow()));
         this.callerServer.close();
-        while (this.serving.openCount > 0 && readNow() - stoppedAt < graceMs * graceShare) {
+        while (this.serving.openCount > 0 && readNow() - stoppedAt < graceMs * requestGraceShare) {
             await wait(20);
         }
         this.log.recordImportant("stopped", { openRequests: this.serving.openCount });
@@ -636,10 +644,10 @@
         for (const timer of this.timers) {
             clearInterval(timer);
         }
-        this.guard.stop();
+        this.crashGuard.stop();
         this.options.store.stop();
         this.peers.stop();
         this.pool.close();
-        this.life.send("done");
+        this.lifecycle.send("done");
     }
 }
--- a/packages/node/test/departures.test.ts
+++ b/packages/node/test/departures.test.ts
@@ -9,15 +9,15 @@
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
     const sent: PeerMessage[] = [];
-    let changes = 0;
+    let changeCount = 0;
     const sharing = new DepartureSharing({
         view,
         log: createSilentLog(() => 0),
         readTime: () => 0,
         broadcast: message => sent.push(message),
-        onChange: () => changes += 1,
+        onChange: () => changeCount += 1,
     });
-    return { view, sharing, sent, countChanges: () => changes };
+    return { view, sharing, sent, countChanges: () => changeCount };
 }
 
 test("a VM that learns from answers that an upstream leaves tells the others once", () => {
--- a/packages/node/test/isolation.test.ts
+++ b/packages/node/test/isolation.test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { IsolationWatch } from "../src/knowledge/isolation.js";
+import { IsolationMonitor } from "../src/knowledge/isolation.js";
 
 function runChecks(...signs: [hasOthers: boolean, othersQuietMs: number, storeQuietMs: number][]): boolean[] {
-    const watch = new IsolationWatch();
+    const watch = new IsolationMonitor();
     return signs.map(([hasOthers, othersQuietMs, storeQuietMs]) => {
         watch.update({ hasOthers, othersQuietMs, storeQuietMs, isMesh: true });
         return watch.isIsolated;
@@ -23,7 +23,7 @@
 });
 
 test("among many VMs, which hear of each other less often, it takes twice as long", () => {
-    const watch = new IsolationWatch();
+    const watch = new IsolationMonitor();
     const signs = { hasOthers: true, storeQuietMs: 5000, isMesh: false };
     for (const othersQuietMs of [1900, 2000]) {
         watch.update({ ...signs, othersQuietMs });
--- a/packages/node/test/pressure.test.ts
+++ b/packages/node/test/pressure.test.ts
@@ -1,18 +1,18 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { DecisionLog } from "../src/decisions.js";
-import { PressureWatch } from "../src/pressure.js";
+import { OverloadMonitor } from "../src/pressure.js";
 
 test("the lines of a VM add up to all it did", () => {
     let now = 0;
     let wakes = 0;
     const lines: { event: string; sinceMs: number; wakes: number; work: Record<string, number>; }[] = [];
     const sink = { writableLength: 0, write: (text: string) => lines.push(JSON.parse(text) as never) > 0 };
-    const watch = new PressureWatch({
+    const watch = new OverloadMonitor({
         log: new DecisionLog({ program: "p", vm: "v", sink, readTime: () => now }),
         readTime: () => now,
         readProcessorMs: () => 0,
-        countWakes: () => wakes,
+        countLoopIterations: () => wakes,
         intervalMs: 250,
         onLag: () => {},
     });
@@ -26,10 +26,10 @@
     assert.equal(lines.map(({ event }) => event), ["work", "pressed", "work", "work"]);
     const sum = (read: (line: typeof lines[number]) => number): number =>
         lines.reduce((all, line) => all + read(line), 0);
-    const told = sum(line => line.work["choice"]!);
-    assert.ok(told >= 60, `${told} of 80 checks`);
-    assert.equal(sum(line => line.work["bytes"]!), 10 * told);
-    assert.equal(sum(line => line.wakes), 3 * told);
+    const total = sum(line => line.work["choice"]!);
+    assert.ok(total >= 60, `${total} of 80 checks`);
+    assert.equal(sum(line => line.work["bytes"]!), 10 * total);
+    assert.equal(sum(line => line.wakes), 3 * total);
 });
 
 test("a VM that does not keep up tells what it did since it last told, and no more than once in 5 s", () => {
@@ -41,11 +41,11 @@
         write: (text: string) => lines.push(JSON.parse(text) as Record<string, unknown>) > 0,
     };
     const lags: number[] = [];
-    const watch = new PressureWatch({
+    const watch = new OverloadMonitor({
         log: new DecisionLog({ program: "p", vm: "v", sink, readTime: () => now }),
         readTime: () => now,
         readProcessorMs: () => processorMs,
-        countWakes: () => 0,
+        countLoopIterations: () => 0,
         intervalMs: 250,
         onLag: ms => lags.push(ms),
     });
--- a/packages/node/test/sharing.test.ts
+++ b/packages/node/test/sharing.test.ts
@@ -84,7 +84,7 @@
         const fresh = reports.filter(({ name }) => !vm.reports.has(name));
         fresh.forEach(report => vm.reports.set(report.name, report));
         if (fresh.length > 0) {
-            vm.sharing.passMessage({ type: "crashReports", reports: fresh });
+            vm.sharing.forwardMessage({ type: "crashReports", reports: fresh });
         }
     }
 
