--- a/packages/node/src/metrics.ts
+++ b/packages/node/src/metrics.ts
@@ -17,7 +17,7 @@
     readonly registry = new Registry();
     private readonly refusals = new Counter({
         name: "radishreel_node_refusals_total",
-        help: "Requests that this program rejected itself, by reason",
+        help: "Requests that this program ended itself, by reason",
         labelNames: ["reason"] as const,
         registers: [this.registry],
     });
@@ -53,7 +53,7 @@
     });
     private readonly peerBytes = new Counter({
         name: "radishreel_node_peer_bytes_total",
-        help: "Bytes sent between VMs, including framing",
+        help: "Bytes sent to and received from other VMs, including framing",
         labelNames: ["direction"] as const,
         registers: [this.registry],
     });
--- a/packages/node/test/departures.test.ts
+++ b/packages/node/test/departures.test.ts
@@ -20,7 +20,7 @@
     return { view, sharing, sent, countChanges: () => changeCount };
 }
 
-test("a VM that learns from answers that an upstream leaves tells the others once", () => {
+test("a VM that learns from responses that an upstream is leaving announces it to other VMs once", () => {
     const { view, sharing, sent, countChanges } = createSharing();
     sharing.recordAnswer("e1");
     sharing.recordAnswer("e1");
@@ -30,28 +30,28 @@
     assert.equal(sharing.createGreeting(), sent);
 });
 
-test("a VM that was told tells nobody, even if answers say it later", () => {
+test("a VM that learns from a peer that an upstream is leaving announces nothing, even after such a response", () => {
     const { view, sharing, sent } = createSharing();
     sharing.receive("b", ["e1", "e2"]);
     sharing.recordAnswer("e1");
     assert.is(view.isUsable("e1"), false);
     assert.equal(sent, []);
-    // The entry of one that was not known comes later, and is older than its word.
+    // The entry of the unknown upstream e2 arrives later and is older than its announcement.
     view.updateUpstream(createUpstream("e2"), 0);
     assert.is(view.isUsable("e2"), false);
 });
 
-test("a VM that has read that an upstream leaves tells nobody what its answers say", () => {
+test("a VM that has read from an entry that an upstream is leaving announces nothing after such a response", () => {
     const { view, sharing, sent, countChanges } = createSharing();
     view.updateUpstream(createUpstream("e1", { isLeaving: true }), 0);
     sharing.recordAnswer("e1");
     assert.equal([sent.length, countChanges(), sharing.createGreeting().length], [0, 0, 0]);
-    // That word stands all the same if an older entry is taken for the newest.
+    // The announcement still holds if an older entry is applied as the newest.
     view.updateUpstream(createUpstream("e1"), 0);
     assert.is(view.isUsable("e1"), false);
 });
 
-test("an upstream that said that it leaves is not used again when its entry lapses and comes back", () => {
+test("a leaving upstream whose entry lapses and comes back gets no requests, but its next incarnation does", () => {
     const { view, sharing } = createSharing();
     sharing.recordAnswer("e1");
     view.removeUpstream("e1");
--- a/packages/node/test/fixtures.ts
+++ b/packages/node/test/fixtures.ts
@@ -6,17 +6,17 @@
 import type { ClusterState } from "../src/knowledge/cluster.js";
 import { RequestDigest } from "../src/requests/digest.js";
 
-/** A log that nobody reads. */
+/** Creates a log that discards its lines. */
 export function createSilentLog(readTime: () => number): DecisionLog {
     return new DecisionLog({ program: "p", vm: "v", sink: { writableLength: 0, write: () => true }, readTime });
 }
 
-/** What a request holds, as far as it is told from others. */
+/** Creates the digest that identifies a request by its content. */
 export function createDigest(path = "/", body = ""): RequestDigest {
     return new RequestDigest({ method: "POST", host: "h", path, account: undefined, body: Buffer.from(body) });
 }
 
-/** A guard that knows of no other VM. */
+/** Creates a crash guard that knows no other VM. */
 export function createGuard(options: Partial<CrashGuardOptions> = {}): CrashGuard {
     const readTime = options.readTime ?? (() => performance.now());
     return new CrashGuard({
@@ -35,7 +35,7 @@
     });
 }
 
-/** A guard of accounts whose VM knows of no other one, and that was confirmed to have the newest configuration just now. */
+/** Creates an account guard that knows no other VM and whose configuration was just confirmed to be the newest. */
 export function createAccountGuard(cluster: ClusterState, options: Partial<AccountGuardOptions> = {}): AccountGuard {
     const readBoot = (): number => performance.now();
     const bounds: AccountBounds = {
@@ -61,7 +61,7 @@
     return guard;
 }
 
-/** An engine's entry. */
+/** Creates the entry of an engine. */
 export function createUpstream(id: string, upstream: Partial<Upstream> = {}): Upstream {
     return {
         id,
@@ -78,7 +78,7 @@
     };
 }
 
-/** An owner's word about an engine that it may give orders. */
+/** Creates the status of an engine from an owner that may send it orders. */
 export function createNews(engine: string, news: Partial<EngineNews> = {}): EngineNews {
     return {
         engine,
@@ -97,7 +97,7 @@
     };
 }
 
-/** The service of these engines. */
+/** Service of the engines that {@link createUpstream} creates. */
 export const engineService: Service = {
     name: "llm",
     maxConnections: 100,
--- a/packages/node/test/pressure.test.ts
+++ b/packages/node/test/pressure.test.ts
@@ -3,12 +3,12 @@
 import { DecisionLog } from "../src/decisions.js";
 import { OverloadMonitor } from "../src/pressure.js";
 
-test("the lines of a VM add up to all it did", () => {
+test("the work in the log lines of a VM adds up to its total work", () => {
     let now = 0;
     let wakes = 0;
     const lines: { event: string; sinceMs: number; wakes: number; work: Record<string, number>; }[] = [];
     const sink = { writableLength: 0, write: (text: string) => lines.push(JSON.parse(text) as never) > 0 };
-    const watch = new OverloadMonitor({
+    const monitor = new OverloadMonitor({
         log: new DecisionLog({ program: "p", vm: "v", sink, readTime: () => now }),
         readTime: () => now,
         readProcessorMs: () => 0,
@@ -19,9 +19,9 @@
     for (let i = 0; i < 80; i += 1) {
         now += i === 30 ? 450 : 250;
         wakes += 3;
-        watch.recordWork("choice");
-        watch.recordWork("bytes", 10);
-        watch.check();
+        monitor.recordWork("choice");
+        monitor.recordWork("bytes", 10);
+        monitor.check();
     }
     assert.equal(lines.map(({ event }) => event), ["work", "pressed", "work", "work"]);
     const sum = (read: (line: typeof lines[number]) => number): number =>
@@ -32,7 +32,7 @@
     assert.equal(sum(line => line.wakes), 3 * total);
 });
 
-test("a VM that does not keep up tells what it did since it last told, and no more than once in 5 s", () => {
+test("an overloaded VM logs its work since the previous line, and at most one overload line in 5 s", () => {
     let now = 0;
     let processorMs = 0;
     const lines: Record<string, unknown>[] = [];
@@ -41,7 +41,7 @@
         write: (text: string) => lines.push(JSON.parse(text) as Record<string, unknown>) > 0,
     };
     const lags: number[] = [];
-    const watch = new OverloadMonitor({
+    const monitor = new OverloadMonitor({
         log: new DecisionLog({ program: "p", vm: "v", sink, readTime: () => now }),
         readTime: () => now,
         readProcessorMs: () => processorMs,
@@ -51,7 +51,7 @@
     });
     const advance = (ms: number): void => {
         now += ms;
-        watch.check();
+        monitor.check();
     };
     for (let i = 0; i < 20; i += 1) {
         advance(250);
@@ -59,19 +59,19 @@
     assert.equal(lines.map(({ event, sinceMs, work }) => ({ event, sinceMs, work })), [
         { event: "work", sinceMs: 5000, work: {} },
     ]);
-    watch.recordWork("choice");
-    watch.recordWork("choice");
-    watch.recordWork("sent news");
+    monitor.recordWork("choice");
+    monitor.recordWork("choice");
+    monitor.recordWork("sent news");
     processorMs = 900;
     advance(400);
     advance(400);
     assert.equal(lines.length, 2);
-    const { event, lagMs, sinceMs, processorMs: told, work } = lines[1]!;
-    assert.equal({ event, lagMs, sinceMs, told, work }, {
+    const { event, lagMs, sinceMs, processorMs: workMs, work } = lines[1]!;
+    assert.equal({ event, lagMs, sinceMs, workMs, work }, {
         event: "pressed",
         lagMs: 150,
         sinceMs: 400,
-        told: 900,
+        workMs: 900,
         work: { choice: 2, "sent news": 1 },
     });
     assert.equal(Math.max(...lags), 150);
--- a/packages/node/test/sharing.test.ts
+++ b/packages/node/test/sharing.test.ts
@@ -9,7 +9,7 @@
 import type { ClusterChange, ClusterStore } from "../src/ports.js";
 import { createSilentLog } from "./fixtures.js";
 
-test("the first VM of a data centre that reaches the store reads for the others, and nobody for itself", () => {
+test("a VM follows the first VM of its data centre, by name, that reaches the store, until that VM is silent", () => {
     const readers = new StoreReaders({ vm: "b", dataCentre: "x" });
     assert.is(readers.findReader(0), undefined);
     readers.update("c", "x", true, 0);
@@ -22,13 +22,13 @@
     assert.is(readers.findReader(800), undefined);
 });
 
-/** VMs of two data centres with links that may be down, each with the store's records or cut off from it. */
+/** VMs of two data centres; each may lose its links and its connection to the store. */
 class Fleet {
     now = 0;
     readonly vms = ["a", "b", "c", "d", "e"].map(name => this.createVm(name, "cd".includes(name) ? "y" : "x"));
     private position = 0;
 
-    /** The store takes a change; VMs that read it learn of it at once. */
+    /** Appends a change to the store; VMs that read the store receive it at once. */
     append(): void {
         this.position += 1;
         const change: ClusterChange = { kind: "version", key: "m/a1", version: this.position, position: this.position };
@@ -39,7 +39,7 @@
         this.readAll();
     }
 
-    /** Links to a VM open: either side tells the other what has ended, as programs greet each other. */
+    /** Opens the links of a VM: both sides of each link send their crash reports, as programs do when a link opens. */
     sendGreetings(vm: Vm): void {
         for (const other of this.vms) {
             this.send(vm.name, other.name, { type: "crashReports", reports: [...vm.reports.values()] });
@@ -173,7 +173,7 @@
     isUp: boolean;
 }
 
-test("one VM of each data centre reads, and all learn each change", () => {
+test("only one VM of each data centre reads the store, and all VMs receive each change", () => {
     const fleet = new Fleet();
     fleet.append();
     fleet.advance(1000);
@@ -183,7 +183,7 @@
     assert.equal(fleet.vms.map(vm => vm.reports.size), [2, 2, 2, 2, 2]);
 });
 
-test("whoever loses the store or falls silent, in any order, all that are up learn each change within 2 s", () => {
+test("all running VMs receive each change within 2 s, whichever VMs lose the store or stop, in any order", () => {
     const step = fc.record({
         vm: fc.nat(4),
         what: fc.constantFrom("loseStore", "reachStore", "stop", "start"),
@@ -222,7 +222,7 @@
     );
 });
 
-test("a reader that reads half as often tells how far it has read half as often, and counts for twice as long", () => {
+test("a reader with twice the pause between reads is dropped after twice the silence", () => {
     const slow = new StoreReaders({ vm: "b", dataCentre: "x", entriesPauseMs: 600 });
     slow.update("a", "x", true, 0);
     assert.is(slow.findReader(1400), "a");
@@ -230,13 +230,13 @@
 });
 
 /**
- * The failure: on days of 91 VMs each VM received 35 positions a second from 4 readers, since a reader told how far it had
- * read at every answer of the store beside its regular checks.
+ * Guards against a flood of positions: if a reader reports its positions at every response of the store in addition to
+ * its regular checks, each of 91 VMs receives 35 positions per second from 4 readers.
  */
-test("a reader whose store answers often tells how far it has read no more often than it checks", () => {
+test("a reader whose store responds often reports its positions no more often than at its regular checks", () => {
     let now = 0;
-    let told = 0;
-    let toldFar = 0;
+    let reportCount = 0;
+    let broadcastCount = 0;
     const options = { view: new FleetView(), log: createSilentLog(() => now), readTime: () => now };
     const cluster = new ClusterState({ ...options, onChange: () => {}, onUpstreamGone: () => {}, onMember: () => {} });
     const sharing = new ChangeSharing({
@@ -247,10 +247,10 @@
         store: { isReading: true, setReading: () => {} } as unknown as ClusterStore,
         send: () => {},
         broadcast: () => {
-            told += 1;
-            toldFar += 1;
+            reportCount += 1;
+            broadcastCount += 1;
         },
-        sendNear: () => told += 1,
+        sendNear: () => reportCount += 1,
         listCrashReports: () => [],
         listLinked: () => [],
         readStoreQuietMs: () => 0,
@@ -259,13 +259,13 @@
     for (; now < 1000; now += 10) {
         sharing.update();
     }
-    assert.ok(told >= 4 && told <= 5, `${told} times in a second`);
-    assert.ok(toldFar >= 2 && toldFar <= 3, `${toldFar} times in a second to other data centres`);
+    assert.ok(reportCount >= 4 && reportCount <= 5, `${reportCount} reports per second`);
+    assert.ok(broadcastCount >= 2 && broadcastCount <= 3, `${broadcastCount} reports per second to other data centres`);
     cluster.setReachable(false);
     sharing.update();
     cluster.setReachable(true);
     sharing.update();
-    assert.ok(told >= 6 && told <= 7, "a change is told at once");
+    assert.ok(reportCount >= 6 && reportCount <= 7, "a change of canRead is reported at once");
 });
 
 test.run();
--- a/packages/node/test/units.test.ts
+++ b/packages/node/test/units.test.ts
@@ -13,7 +13,7 @@
 import { EventSplitter } from "../src/requests/events.js";
 import { readLastSendAt } from "../src/requests/patience.js";
 
-test("events come out whole and in order, however the bytes are cut", () => {
+test("an event splitter returns whole events in order, at whatever boundaries the bytes arrive", () => {
     const text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid: 3\r\ndata: d\r\n\r\n";
     fc.assert(
         fc.property(fc.array(fc.integer({ min: 1, max: 12 }), { minLength: 1, maxLength: 80 }), sizes => {
@@ -34,13 +34,13 @@
     );
 });
 
-test("an unfinished event is held back", () => {
+test("an event splitter holds an unfinished event back", () => {
     const splitter = new EventSplitter();
     assert.is(splitter.receive(Buffer.from("id: 1\ndata: a\n\nid: 2\nda")).length, 1);
     assert.is(splitter.isAtBoundary, false);
 });
 
-test("a suspension counts in boot time, a correction of the clock and a step back do not", () => {
+test("boot time counts a suspension, but not a small correction of the wall clock or a step back", () => {
     let steady = 0;
     let wall = 1_000_000;
     const clock = new BootClock({ readSteady: () => steady, readWall: () => wall });
@@ -85,7 +85,7 @@
     };
 }
 
-test("lines are bounded under load, the important ones last, and what was dropped is told", () => {
+test("a log under load drops lines beyond its budget, keeps important lines and reports the dropped lines", () => {
     const { log, lines, advance } = createLog(() => 0);
     for (let index = 0; index < 1000; index++) {
         log.record("attempt", { index });
@@ -95,16 +95,16 @@
     assert.is(lines.at(-1)?.event, "refused");
     advance(6000);
     log.record("attempt", {});
-    const told = lines.find(line => line.event === "linesDropped");
-    assert.equal(told?.counts, { attempt: 760 });
+    const droppedLine = lines.find(line => line.event === "linesDropped");
+    assert.equal(droppedLine?.counts, { attempt: 760 });
 });
 
-test("a reader that does not read makes lines drop and never waits", () => {
-    let waiting = 1_000_000;
-    const { log, lines } = createLog(() => waiting);
+test("a log whose reader is stalled drops lines and never waits", () => {
+    let bufferedBytes = 1_000_000;
+    const { log, lines } = createLog(() => bufferedBytes);
     log.recordImportant("refused", {});
     assert.is(lines.length, 0);
-    waiting = 0;
+    bufferedBytes = 0;
     log.recordImportant("refused", {});
     assert.is(lines.length, 1);
 });
@@ -149,7 +149,7 @@
     sequence: 0,
 };
 
-test("configuration never goes back, whatever order changes come in", () => {
+test("the configuration never reverts to an earlier version, whatever the order of changes", () => {
     const changes = [1, 2, 3, 4, 5].map(version => createRouting(version * 3, version));
     fc.assert(
         fc.property(fc.array(fc.constantFrom(...changes), { minLength: 1, maxLength: 30 }), order => {
@@ -166,7 +166,7 @@
     );
 });
 
-test("an entry that is removed is gone at once while the store is well", () => {
+test("an upstream whose entry is removed is gone at once while the store is reachable", () => {
     const { cluster, gone, advance } = createCluster();
     cluster.setReachable(true);
     advance(10_000);
@@ -175,7 +175,7 @@
     assert.equal(gone, ["e1"]);
 });
 
-test("an entry that lapsed around an outage is kept for two seconds after it, and gone if it does not come back", () => {
+test("an upstream whose entry lapsed around an outage is kept for 2 s, and gone if it does not come back", () => {
     const { cluster, gone, advance, view } = createCluster();
     cluster.setReachable(true);
     advance(10_000);
@@ -192,7 +192,7 @@
     assert.equal(gone, ["e1"]);
 });
 
-test("an entry that is removed two seconds after the store came back is not kept for two seconds more", () => {
+test("an upstream whose entry is removed 2 s after an outage of the store is not kept for 2 s more", () => {
     const { cluster, gone, advance } = createCluster();
     cluster.applyChanges([{ kind: "upstream", upstream: engine, position: 1 }]);
     advance(13_070);
@@ -204,7 +204,7 @@
     assert.equal(gone, ["e1"]);
 });
 
-test("an entry that comes back in time stays, and a leaving one is gone at once even around an outage", () => {
+test("an upstream whose entry comes back in time stays, and a leaving one is gone at once even in an outage", () => {
     const { cluster, gone, advance } = createCluster();
     cluster.setReachable(true);
     cluster.applyChanges([{ kind: "upstream", upstream: engine, position: 1 }]);
@@ -219,7 +219,7 @@
     assert.equal(gone, ["e1"]);
 });
 
-test("a VM knows what it needs once it has routes and an upstream, from the store or from a peer", () => {
+test("the cluster state is complete once routes and upstreams are known, from the store or from a peer", () => {
     const { cluster } = createCluster();
     cluster.applyChanges([createRouting(3, 7)]);
     assert.is(cluster.isComplete, false);
@@ -231,7 +231,7 @@
     assert.is(other.isComplete, true);
 });
 
-test("a peer gets just what it lacks", () => {
+test("a peer gets only the changes that it lacks", () => {
     const { cluster } = createCluster();
     cluster.applyChanges([createRouting(3, 7), { kind: "upstream", upstream: engine, position: 40 }]);
     assert.equal(cluster.readPositions, { operator: 7, upstreams: 40 });
@@ -239,8 +239,8 @@
     assert.equal(cluster.listChangesAfter({ operator: 6, upstreams: 40 }).map(change => change.kind), ["routing"]);
 });
 
-/** A task that owns engines, on a platform that deals nothing. */
-function createOwning(handedOver: Handover[], claims: Partial<ShardClaims> = {}): Owning {
+/** Creates the shard ownership of a VM on a platform that assigns no shards. */
+function createOwnership(handedOver: Handover[], claims: Partial<ShardClaims> = {}): Owning {
     const view = new FleetView();
     return new Owning({
         vm: "a",
@@ -268,25 +268,25 @@
     });
 }
 
-test("shards that are handed to a VM which stops itself go on to another one", async () => {
+test("a VM that is stopping hands shards that it receives over to another VM", async () => {
     const handedOver: Handover[] = [];
-    const owning = createOwning(handedOver);
-    await owning.stop();
+    const ownership = createOwnership(handedOver);
+    await ownership.stop();
     const handover = { shards: [1, 2], deal: 11, depth: 1, givers: [{ vm: "b", incarnation: 5 }] };
-    owning.receiveHandover(handover);
+    ownership.receiveHandover(handover);
     assert.equal(handedOver, [handover]);
 });
 
-// Found by a review: a renewal that was under way in a planned stop could be done after the leave. The store then counted the
-// VM that had gone as a member for 2.8 s more, and dealt it shards.
-test("a planned stop leaves the group after a renewal that is under way, not beside it", async () => {
+// Guards against a renewal that reaches the store after the leave of a planned stop: the store would count the stopped
+// VM as a member for another 2.8 s and assign it shards.
+test("a VM in a planned stop leaves the group only after a pending renewal has ended", async () => {
     const calls: string[] = [];
-    let answer: (deal: undefined) => void = () => {};
-    const owning = createOwning([], {
+    let respond: (assignment: undefined) => void = () => {};
+    const ownership = createOwnership([], {
         renew: () => {
             calls.push("renewal");
             return new Promise(resolve => {
-                answer = resolve;
+                respond = resolve;
             });
         },
         release: () => {
@@ -294,15 +294,15 @@
             return Promise.resolve(true);
         },
     });
-    owning.start(undefined);
+    ownership.start(undefined);
     while (calls.length === 0) {
         await new Promise<void>(resolve => setImmediate(resolve));
     }
-    const stopped = owning.stop();
+    const stopped = ownership.stop();
     await new Promise<void>(resolve => setImmediate(resolve));
     assert.equal(calls, ["renewal"]);
     calls.push("answer");
-    answer(undefined);
+    respond(undefined);
     await stopped;
     assert.equal(calls, ["renewal", "answer", "leave"]);
 });
@@ -327,7 +327,7 @@
     });
 }
 
-test("a VM that has said that it stops is no heir, and stays connected", async () => {
+test("a VM that has announced its stop is no handover target and stays connected", async () => {
     const other = createPeers("b", () => {});
     const port = await other.start();
     const opened = new Promise<Peers>(resolve => {
@@ -343,7 +343,7 @@
     other.stop();
 });
 
-test("a request without an upstream is refused while its caller still waits, whatever time it has left", () => {
+test("a request without an upstream is rejected while its caller still waits, whatever its deadline", () => {
     const route: Route = {
         name: "r",
         host: "h",
@@ -364,8 +364,8 @@
     assert.is(readLastSendAt(request), 1000 + 4000 - 100 - 150);
     assert.is(readLastSendAt({ ...request, deadlineAt: 3000 }), 2940);
     assert.is(readLastSendAt({ ...request, route: { ...route, kind: "unsafe" } }), 15_940);
-    const begun = { ...progress, events: 3, lastEventAt: 9000 };
-    assert.is(readLastSendAt({ ...request, progress: begun }), 9000 + 4000 - 100 - 150);
+    const streamProgress = { ...progress, events: 3, lastEventAt: 9000 };
+    assert.is(readLastSendAt({ ...request, progress: streamProgress }), 9000 + 4000 - 100 - 150);
 });
 
 test.run();
