--- a/packages/node/src/knowledge/cluster.ts
+++ b/packages/node/src/knowledge/cluster.ts
@@ -205,7 +205,7 @@
         this.olderVersions.set(key, known.filter(({ version }) => this.options.view.versions.has(key, version)));
     }
 
-    /** Creates a copy of the change with the present age of its version. */
+    /** Creates a copy of the change with the current age of its version. */
     private updateAge(change: ClusterChange): ClusterChange {
         if (change.kind !== "version") {
             return change;
