--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -3,16 +3,16 @@
 import * as assert from "uvu/assert";
 import {
     dataCentre,
+    fastAgentSettings,
+    fastGatewaySettings,
     listModels,
-    quickAgent,
-    quickGateway,
     runWithDeployment,
     startDeployment,
     testOfferings,
     waitForOfferings,
 } from "./support.js";
 
-/** Offerings with one adapter more. */
+/** Creates the test offerings with one additional adapter. */
 function createOfferings(adapter: string) {
     return {
         ...testOfferings,
@@ -33,7 +33,7 @@
     return { code, outcome: (JSON.parse(stdout) as { outcome: string; }).outcome };
 }
 
-test("of two operators who apply at the same moment one wins, and the loser is told", () =>
+test("when two operators apply at the same time, one apply succeeds and the other reports a conflict", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { agents: 2 });
         const [left, right] = await Promise.all([
@@ -48,7 +48,7 @@
         assert.not((await listModels(deployment.gateways[0]!)).includes(loser));
     }));
 
-test("an apply whose append took effect without an answer is in force once, and told so", () =>
+test("an apply whose append took effect without a response is in force and reported as in force", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         await deployment.setFaults(deployment.addresses.log, [{ operation: "append", action: "loseAnswer" }]);
@@ -56,7 +56,7 @@
         await waitForOfferings(deployment.gateways[0]!, "lost@1");
     }));
 
-test("an apply that the log refuses is told as not in force, and is not", () =>
+test("an apply that the log rejects is reported as not in force and changes nothing", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         await deployment.setFaults(deployment.addresses.log, [{ operation: "append", action: "refuse", count: 100 }]);
@@ -64,7 +64,7 @@
         assert.not((await listModels(deployment.gateways[0]!)).includes("refused@1"));
     }));
 
-test("a file with a mistake changes nothing, and the mistake is named with its line", () =>
+test("a file with an error changes nothing, and the message gives the line of the error", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         const file = await deployment.writeFile("wrong.json", {
@@ -77,49 +77,49 @@
         assert.ok((await listModels(deployment.gateways[0]!)).includes("manifest@1"));
     }));
 
-test("a node cut off from the log gets new offerings from its peers, and one that starts then does too", () =>
+test("an agent without access to the log gets offerings from its peers, at its start and when they change", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         const first = deployment.agents[0]!;
-        const nowhere = { ...quickAgent, log: "127.0.0.1:1", agents: [first.peers] };
-        const cut = await deployment.startAgent("agent-cut", dataCentre, nowhere);
+        const settingsWithoutLog = { ...fastAgentSettings, log: "127.0.0.1:1", agents: [first.peers] };
+        const isolatedAgent = await deployment.startAgent("agent-cut", dataCentre, settingsWithoutLog);
         const gateway = await deployment.startGateway("gateway-cut", dataCentre, {
-            ...quickGateway,
-            agents: [cut.peers],
+            ...fastGatewaySettings,
+            agents: [isolatedAgent.peers],
         });
         await waitForOfferings(gateway);
         assert.equal(await apply(deployment, "late"), { code: 0, outcome: "inForce" });
         await waitForOfferings(gateway, "late@1");
     }));
 
-test("during an outage of the log nodes are replaced and serve what the others know", () =>
+test("agents and gateways that start during an outage of the log serve the offerings of the running ones", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { agents: 2 });
         await deployment.setFaults(deployment.addresses.log, [{ operation: "*", action: "refuse", count: 100_000 }]);
         await deployment.agents[1]!.process.kill();
-        const replaced = await deployment.startAgent("agent-3", dataCentre, quickAgent);
+        const replaced = await deployment.startAgent("agent-3", dataCentre, fastAgentSettings);
         await waitFor(
-            "the new agent to know the offerings",
+            "the new agent to have the offerings",
             async () => (await sendRequest(replaced.metrics, "/readyz", { method: "GET" })).status === 200,
         );
         await deployment.agents[0]!.process.kill();
-        const gateway = await deployment.startGateway("gateway-3", dataCentre, quickGateway);
+        const gateway = await deployment.startGateway("gateway-3", dataCentre, fastGatewaySettings);
         await waitForOfferings(gateway);
     }));
 
-test("a gateway that nobody can tell the offerings serves nothing, and says so", () =>
+test("a gateway that can get no offerings rejects requests and is not ready", () =>
     runWithDeployment(async deployment => {
         await deployment.startFakes({});
         await deployment.setFaults(deployment.addresses.log, [{ operation: "*", action: "refuse", count: 100_000 }]);
-        await deployment.startAgent("agent-1", dataCentre, quickAgent);
-        const gateway = await deployment.startGateway("gateway-1", dataCentre, quickGateway);
+        await deployment.startAgent("agent-1", dataCentre, fastAgentSettings);
+        const gateway = await deployment.startGateway("gateway-1", dataCentre, fastGatewaySettings);
         const result = await sendRequest(gateway.callers, "/v1/models", { method: "GET" });
         assert.is(result.status, 503);
         assert.match(result.body, "noOfferings");
         assert.is((await sendRequest(gateway.metrics, "/readyz", { method: "GET" })).status, 503);
     }));
 
-test("offerings outlive the records that made them, by snapshots", () =>
+test("a snapshot keeps the offerings after the records before it were trimmed", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { agent: { snapshotMs: 1 } });
         const { log } = deployment.addresses;
@@ -127,42 +127,49 @@
             JSON.parse((await sendRequest(log, "/streams/offerings?from=0", { method: "GET" })).body) as {
                 records: { offset: number; data: string; }[];
             };
-        const snapshot = await waitFor("a snapshot", async () =>
-            (await readPage()).records.find(record => record.data.includes("\"snapshot\"")));
+        const snapshot = await waitFor(
+            "a snapshot record",
+            async () => (await readPage()).records.find(record => record.data.includes("\"snapshot\"")),
+        );
         assert.is(
             (await sendRequest(log, `/trim/offerings?before=${snapshot.offset}`, { method: "POST" })).status,
             200,
         );
         await deployment.agents[0]!.process.kill();
         await deployment.gateways[0]!.process.kill();
-        await deployment.startAgent("agent-2", dataCentre, quickAgent);
-        const gateway = await deployment.startGateway("gateway-2", dataCentre, quickGateway);
+        await deployment.startAgent("agent-2", dataCentre, fastAgentSettings);
+        const gateway = await deployment.startGateway("gateway-2", dataCentre, fastGatewaySettings);
         await waitForOfferings(gateway);
     }));
 
-test("check, diff, status and explain tell operators what is", () =>
+test("check, diff, status and explain report the current state to operators", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         const [agent] = deployment.agents;
-        const ask = async (...args: string[]): Promise<{ code: number; value: Record<string, unknown>; }> => {
+        const runOperatorCommand = async (
+            ...args: string[]
+        ): Promise<{ code: number; value: Record<string, unknown>; }> => {
             const { code, stdout } = await deployment.runCli("--json", "--agent", agent!.operators, ...args);
             return { code, value: JSON.parse(stdout) as Record<string, unknown> };
         };
         const same = await deployment.writeFile("same.json", testOfferings);
         const other = await deployment.writeFile("other.json", createOfferings("other"));
-        assert.equal(await ask("check", same), {
+        assert.equal(await runOperatorCommand("check", same), {
             code: 0,
             value: { valid: true, customers: 2, adapters: 4, services: 1 },
         });
-        assert.equal(await ask("diff", same), { code: 0, value: { version: 0, change: { set: [], remove: [] } } });
-        const diff = await ask("diff", other);
+        assert.equal(await runOperatorCommand("diff", same), {
+            code: 0,
+            value: { version: 0, change: { set: [], remove: [] } },
+        });
+        const diff = await runOperatorCommand("diff", other);
         assert.is(diff.code, 1);
         assert.match(JSON.stringify(diff.value), "\"name\":\"other\"");
-        const status = await ask("status");
+        const status = await runOperatorCommand("status");
         assert.equal([status.value.version, status.value.isLogReachable, status.value.placer], [0, true, agent!.id]);
         await sendCompletion(deployment.gateways[0]!.callers, "manifest@1");
-        const explained = await waitFor("the placer to know where it is", async () => {
-            const { value } = await ask("explain", "manifest@1");
+        const explained = await waitFor("the placer to know which engine has loaded the adapter", async () => {
+            const { value } = await runOperatorCommand("explain", "manifest@1");
             return JSON.stringify(value).includes("\"state\":\"loaded\"") && value;
         });
         assert.is(explained.isOffered, true);
@@ -170,10 +177,10 @@
         assert.is(unreachable.code, 7);
     }));
 
-test("an operator without a key is refused", () =>
+test("an operator request with an unknown key is rejected", () =>
     runWithDeployment(async deployment => {
         await deployment.startFakes({});
-        const agent = await deployment.startAgent("agent-1", dataCentre, quickAgent);
+        const agent = await deployment.startAgent("agent-1", dataCentre, fastAgentSettings);
         const result = await sendRequest(agent.operators, "/operator/status", {
             method: "GET",
             key: "not-an-operator",
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -25,7 +25,7 @@
 test.after(() => deployment.stop());
 
 for (const isStream of [true, false]) {
-    test(`a completion ${isStream ? "as a stream" : "in one piece"} is answered whole by the model it named`, async () => {
+    test(`a completion ${isStream ? "as a stream" : "without a stream"} is served completely by the requested model`, async () => {
         for (const model of ["declaration@1", "declaration@2", "manifest@1", "tender@1"]) {
             const result = await sendCompletion(gateway.callers, model, { isStream, tokens: 5 });
             assert.is(result.status, 200, result.body);
@@ -36,10 +36,10 @@
     });
 }
 
-const completions = "/v1/chat/completions";
-const goodBody = { model: "declaration@1", messages: [] };
+const completionsPath = "/v1/chat/completions";
+const validBody = { model: "declaration@1", messages: [] };
 
-/** Requests that are refused before anything is queued. */
+/** Requests that the gateway rejects before it queues them. */
 const refusals: readonly {
     name: string;
     path?: string;
@@ -49,45 +49,45 @@
     status: number;
     reason: string;
 }[] = [
-    { name: "an unknown key", key: "nobody", body: goodBody, status: 401, reason: "unknownKey" },
-    { name: "an unknown adapter", body: { ...goodBody, model: "nothing@1" }, status: 404, reason: "unknownAdapter" },
+    { name: "an unknown key", key: "nobody", body: validBody, status: 401, reason: "unknownKey" },
+    { name: "an unknown adapter", body: { ...validBody, model: "nothing@1" }, status: 404, reason: "unknownAdapter" },
     {
         name: "an unknown version",
-        body: { ...goodBody, model: "declaration@9" },
+        body: { ...validBody, model: "declaration@9" },
         status: 404,
         reason: "unknownAdapter",
     },
     {
         name: "an adapter without a version",
-        body: { ...goodBody, model: "declaration" },
+        body: { ...validBody, model: "declaration" },
         status: 404,
         reason: "unknownAdapter",
     },
     {
-        name: "an adapter of somebody else",
+        name: "an adapter of another account",
         key: "trial-key",
-        body: { ...goodBody, model: "tender@1" },
+        body: { ...validBody, model: "tender@1" },
         status: 403,
         reason: "notAllowed",
     },
-    { name: "a body that is no JSON", body: "{", status: 400, reason: "malformedBody" },
+    { name: "a body that is not JSON", body: "{", status: 400, reason: "malformedBody" },
     { name: "a body without a model", body: {}, status: 400, reason: "malformedBody" },
     {
         name: "an oversized body",
-        body: { ...goodBody, padding: "x".repeat(5000) },
+        body: { ...validBody, padding: "x".repeat(5000) },
         status: 413,
         reason: "oversizedBody",
     },
     {
         name: "a malformed deadline",
         headers: { "x-deadline-ms": "soon" },
-        body: goodBody,
+        body: validBody,
         status: 400,
         reason: "malformedDeadline",
     },
     { name: "an unknown service", path: "/v1/services/nothing/x", body: {}, status: 404, reason: "unknownService" },
     {
-        name: "a service of somebody else",
+        name: "a service of another account",
         path: "/v1/services/labels/x",
         key: "trial-key",
         body: {},
@@ -95,14 +95,14 @@
         reason: "notAllowed",
     },
     {
-        name: "a call that must not run twice without a token",
+        name: "a non-idempotent call without a request token",
         path: "/v1/services/labels/print",
         body: {},
         status: 428,
         reason: "requestTokenRequired",
     },
     {
-        name: "a forged token",
+        name: "a forged request token",
         path: "/v1/services/labels/print",
         headers: { "x-request-token": "e30.e30" },
         body: {},
@@ -112,8 +112,8 @@
     { name: "an unknown path", path: "/v2/nothing", body: {}, status: 404, reason: "unknownRoute" },
 ];
 
-for (const { name, path = completions, key, headers, body, status, reason } of refusals) {
-    test(`${name} is refused as ${reason}, not run`, async () => {
+for (const { name, path = completionsPath, key, headers, body, status, reason } of refusals) {
+    test(`${name} is rejected as ${reason} with verdict not-run`, async () => {
         const result = await sendRequest(gateway.callers, path, { key, headers, body });
         assert.is(result.status, status, result.body);
         assert.match(String(result.headers["content-type"]), "application/problem+json");
@@ -121,7 +121,7 @@
     });
 }
 
-test("bodies of any bytes get an answer, and never stop the gateway", async () => {
+test("a request with any body gets a client error and does not stop the gateway", async () => {
     const body = fc.oneof(
         fc.string(),
         fc.json(),
@@ -129,7 +129,7 @@
     );
     await fc.assert(
         fc.asyncProperty(body, async text => {
-            const result = await sendRequest(gateway.callers, completions, { body: text });
+            const result = await sendRequest(gateway.callers, completionsPath, { body: text });
             assert.ok(result.status >= 400 && result.status < 500, `${result.status} for ${text}`);
         }),
         { seed: 5, numRuns: 200 },
@@ -137,7 +137,7 @@
     assert.ok(gateway.process.isRunning);
 });
 
-test("bytes of any kind at the listener for peers close their connection, and never stop the agent", async () => {
+test("a peer connection that sends arbitrary bytes is closed and does not stop the agent", async () => {
     const agent = deployment.agents[0]!;
     const [host, port] = agent.peers.split(":") as [string, string];
     await fc.assert(
@@ -157,24 +157,24 @@
     assert.is((await sendCompletion(gateway.callers, "declaration@1", { tokens: 1 })).status, 200);
 });
 
-test("models that a customer may not use are not listed to it", async () => {
+test("the model list of an account has only the models that it may use", async () => {
     const result = await sendRequest(gateway.callers, "/v1/models", { method: "GET", key: "trial-key" });
     const models = (JSON.parse(result.body) as { data: { id: string; }[]; }).data.map(model => model.id);
     assert.equal(models.sort(), ["declaration@1", "declaration@2"]);
 });
 
-test("a caller who goes away cancels its upstream work", async () => {
+test("a caller that closes its connection cancels its request at the upstream", async () => {
     const abort = new AbortController();
-    const answer = await request(`http://${gateway.callers}${completions}`, {
+    const response = await request(`http://${gateway.callers}${completionsPath}`, {
         method: "POST",
         headers: { authorization: "Bearer paying-key" },
         body: JSON.stringify({ model: "manifest@1", stream: true, messages: [] }),
         signal: abort.signal,
     });
-    answer.body.on("error", () => {});
-    await new Promise(resolve => answer.body.once("data", resolve));
+    response.body.on("error", () => {});
+    await new Promise(resolve => response.body.once("data", resolve));
     abort.abort();
-    await waitFor("the engine to stop", async () => {
+    await waitFor("the engine to end the request", async () => {
         const runs = await Promise.all(Object.values(deployment.addresses.engines).map(readEngineRuns));
         return runs.every(({ runs: list }) => list.every(run => run.ended));
     });
@@ -183,11 +183,11 @@
     assert.match(metrics.body, "radishreel_open_requests 0");
 });
 
-test("a deadline that no load can make is refused at once, with when to come back", async () => {
+test("a request whose deadline no adapter load can meet is rejected at once with Retry-After", async () => {
     for (const address of Object.values(deployment.addresses.engines)) {
         await deployment.setFaults(address, [{ operation: "load", action: "silentBefore", count: 100 }]);
     }
-    // A model that nobody asked for before, so that it was not prefetched either.
+    // No earlier test requests this model, so it has not been prefetched.
     const result = await sendCompletion(gateway.callers, "spare@1", { headers: { "x-deadline-ms": "300" } });
     assert.is(result.status, 504, result.body);
     assert.equal(readProblem(result.body).verdict, "not-run");
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -5,23 +5,25 @@
 import * as assert from "uvu/assert";
 import { createEngine, listServiceRuns, readEngineRuns, runWithDeployment, startDeployment } from "./support.js";
 
-/** Resident memory of a process, in bytes (proc(5): the second field of `statm`, in pages). */
-async function readMemory(pid: number): Promise<number> {
+/** Reads the resident memory of a process in bytes, from the second field of `statm`, in pages (see proc(5)). */
+async function readResidentBytes(pid: number): Promise<number> {
     return Number((await readFile(`/proc/${pid}/statm`, "latin1")).split(" ")[1]) * 4096;
 }
 
-/** Size of the answer that nobody reads: far more than any buffer should hold. */
+/** Tokens of the response that the caller does not read: far more than the buffers may hold. */
 const unreadTokens = 600_000;
-const maxGrowth = 48 * 2 ** 20;
 
-test("a caller that leaves its answer unread holds a bounded buffer, is given up, and its upstream work ends", () =>
+/** Growth of the resident memory that the buffers may cause, in bytes. */
+const maxGrowthBytes = 48 * 2 ** 20;
+
+test("a caller that does not read its response uses a bounded buffer, and its request is cancelled at the upstream", () =>
     runWithDeployment(async deployment => {
         const engine = createEngine("engine-1", { tokenMs: 0, tokens: unreadTokens });
         await startDeployment(deployment, { engines: [engine], gateway: { callerSilenceMs: 1000, silenceMs: 20_000 } });
         const [gateway] = deployment.gateways;
         const address = deployment.addresses.engines["engine-1"]!;
         await sendCompletion(gateway!.callers, "manifest@1", { tokens: 1 });
-        const before = await readMemory(gateway!.process.pid);
+        const initialBytes = await readResidentBytes(gateway!.process.pid);
         const [host, port] = gateway!.callers.split(":") as [string, string];
         const socket = connect(Number(port), host);
         const body = JSON.stringify({ model: "manifest@1", stream: true, messages: [] });
@@ -30,19 +32,22 @@
             `POST /v1/chat/completions HTTP/1.1\r\nhost: gateway\r\nauthorization: Bearer paying-key\r\n`
                 + `content-length: ${body.length}\r\n\r\n${body}`,
         );
-        let highest = before;
-        await waitFor("the engine to stop", async () => {
-            highest = Math.max(highest, await readMemory(gateway!.process.pid));
+        let peakBytes = initialBytes;
+        await waitFor("the engine to end the request", async () => {
+            peakBytes = Math.max(peakBytes, await readResidentBytes(gateway!.process.pid));
             const { runs } = await readEngineRuns(address);
             return runs.length === 2 && runs.every(run => run.ended);
         });
-        assert.ok(highest - before < maxGrowth, `${Math.round((highest - before) / 2 ** 20)} MB`);
+        assert.ok(
+            peakBytes - initialBytes < maxGrowthBytes,
+            `resident memory grew by ${Math.round((peakBytes - initialBytes) / 2 ** 20)} MiB`,
+        );
         const metrics = await sendRequest(gateway!.metrics, "/metrics", { method: "GET" });
         assert.match(metrics.body, "radishreel_refusals_total{reason=\"callerGone\"} 1");
         socket.destroy();
     }));
 
-test("a service that leaves gets nothing new, while the list of VMs is out", () =>
+test("a leaving service gets no new calls, also without the VM list", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { services: ["labels-1", "labels-2"] });
         const [gateway] = deployment.gateways;
@@ -53,21 +58,21 @@
                 200,
             );
         };
-        await waitFor("both services to be used", async () => {
+        await waitFor("both upstreams of the service to get calls", async () => {
             await Promise.all([call(), call(), call()]);
             const runs = await Promise.all(Object.values(services).map(listServiceRuns));
             return runs.every(list => list.length > 0);
         });
         await deployment.setFaults(vmList, [{ operation: "list", action: "silentBefore", count: 1000 }]);
         await sendRequest(services["labels-1"]!, "/leave", { method: "POST" });
-        await waitFor("calls to go elsewhere", async () => {
+        await waitFor("all calls to go to the other upstream", async () => {
             const before = (await listServiceRuns(services["labels-1"]!)).length;
             await Promise.all(Array.from({ length: 8 }, call));
             return (await listServiceRuns(services["labels-1"]!)).length === before;
         });
     }));
 
-test("a planned stop of everything during an outage of the platform cuts off no stream", () =>
+test("a planned stop of all processes during an outage of the platform does not interrupt a stream", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, {
             agents: 2,
--- a/test/tokens.test.ts
+++ b/test/tokens.test.ts
@@ -4,15 +4,15 @@
 import {
     createTokens,
     dataCentre,
+    fastGatewaySettings,
     listServiceRuns,
     printLabel,
-    quickGateway,
     readProblem,
     runWithDeployment,
     startDeployment,
 } from "./support.js";
 
-test("a label asked for again through every gateway is printed once, and everyone gets the same answer", () =>
+test("a call repeated through every gateway with one token runs once, and all callers get the same response", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { gateways: 3, services: ["labels-1", "labels-2"] });
         const [first, second, third] = deployment.gateways;
@@ -29,7 +29,7 @@
         assert.is(runs.flat().length, 1);
     }));
 
-test("a balancer that sends a request to two gateways at once gets it run once", () =>
+test("a request that a load balancer sends to two gateways at once runs once", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { gateways: 2 });
         const tokens = await createTokens(deployment.gateways[0]!, 20);
@@ -41,7 +41,7 @@
         assert.is(new Set(runs.map(run => run.body)).size, 20);
     }));
 
-test("when the service loses its answer the caller is told may-have-run, again and again, and it ran once", () =>
+test("when the response of the service is lost, every attempt gets may-have-run and the call runs once", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { gateways: 2 });
         const service = deployment.addresses.services["labels-1"]!;
@@ -54,7 +54,7 @@
         assert.is((await listServiceRuns(service)).length, 1);
     }));
 
-test("a request that the service refused before acting may be asked again with its token", () =>
+test("a call that the service rejected without running it can be repeated with the same token", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         const service = deployment.addresses.services["labels-1"]!;
@@ -64,30 +64,33 @@
         assert.is(readProblem(refused.body).verdict, "not-run", refused.body);
         assert.is((await listServiceRuns(service)).length, 0);
         await deployment.setFaults(service, []);
-        await waitFor("the label", async () => (await printLabel(deployment.gateways[0]!, token!, 1)).status === 200);
+        await waitFor(
+            "the label to be printed",
+            async () => (await printLabel(deployment.gateways[0]!, token!, 1)).status === 200,
+        );
         assert.is((await listServiceRuns(service)).length, 1);
     }));
 
-/** What becomes of the gateway that issued a token after its request ran and before the caller asks again elsewhere. */
-const endings = ["killed", "frozen", "restarted at the same address"] as const;
+/** What happens to the gateway that issued a token between the call and its repetition through another gateway. */
+const issuerFailures = ["killed", "frozen", "restarted at the same address"] as const;
 
-for (const ending of endings) {
-    test(`when the issuer is ${ending} the caller is told may-have-run, and it ran once`, () =>
+for (const issuerFailure of issuerFailures) {
+    test(`when the issuer of a token is ${issuerFailure}, a repeated call gets may-have-run and runs once`, () =>
         runWithDeployment(async deployment => {
             await startDeployment(deployment, { gateways: 2, gateway: { silenceMs: 500, tokenLifeMs: 60_000 } });
             const [issuer, other] = deployment.gateways;
             const [used, unused] = await createTokens(issuer!, 2);
             assert.is((await printLabel(issuer!, used!, 1)).status, 200);
-            if (ending === "frozen") {
+            if (issuerFailure === "frozen") {
                 issuer!.process.signal("SIGSTOP");
             }
             else {
                 await issuer!.process.kill();
             }
-            if (ending === "restarted at the same address") {
+            if (issuerFailure === "restarted at the same address") {
                 const port = Number(issuer!.peers.split(":")[1]);
                 await deployment.startGateway(issuer!.id, dataCentre, {
-                    ...quickGateway,
+                    ...fastGatewaySettings,
                     peers: { host: "127.0.0.1", port },
                 });
             }
@@ -97,15 +100,15 @@
             }
             issuer!.process.signal("SIGCONT");
             const runs = await listServiceRuns(deployment.addresses.services["labels-1"]!);
-            // A thawed issuer may still run what was forwarded to it, once.
+            // A frozen issuer may run the call that was forwarded to it, once, after it resumes.
             assert.ok(runs.length <= 2 && runs.length >= 1, String(runs.length));
-            if (ending !== "frozen") {
+            if (issuerFailure !== "frozen") {
                 assert.is(runs.length, 1);
             }
         }));
 }
 
-test("a gateway that stops on plan hands its tokens over: the answer is kept, and an unused token still works", () =>
+test("a gateway that stops as planned hands over its tokens: used tokens keep their response, unused ones stay valid", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { gateways: 3 });
         const [issuer, other, third] = deployment.gateways;
@@ -114,7 +117,7 @@
         assert.is(printed.status, 200);
         assert.is(await issuer!.process.stop(), 0);
         for (const gateway of [other!, third!]) {
-            const again = await waitFor("the heir to be known", async () => {
+            const again = await waitFor("the handover of the tokens to be known", async () => {
                 const result = await printLabel(gateway, used!, 1);
                 return result.status === 200 && result;
             });
@@ -124,7 +127,7 @@
         assert.is((await listServiceRuns(deployment.addresses.services["labels-1"]!)).length, 2);
     }));
 
-test("a token serves one customer and one request", () =>
+test("a token is valid for one account and one request", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment);
         const [gateway] = deployment.gateways;
