--- a/packages/harness/src/calls.ts
+++ b/packages/harness/src/calls.ts
@@ -1,12 +1,12 @@
 import { createParser } from "eventsource-parser";
 import { request } from "undici";
 
-/** What a caller got. */
+/** Response to a caller. */
 export interface CallerResult {
     readonly status: number;
     readonly headers: Record<string, string | string[] | undefined>;
     readonly body: string;
-    /** The connection broke before the answer's end. */
+    /** The connection broke before the end of the response. */
     readonly isBroken: boolean;
 }
 
@@ -19,10 +19,10 @@
     readonly signal?: AbortSignal;
 }
 
-/** Sends a request as a caller does, and reads the answer to its end. */
+/** Sends a request as a caller does, and reads the response to its end. */
 export async function sendRequest(address: string, path: string, options: CallerOptions = {}): Promise<CallerResult> {
     const { method = "POST", key = "paying-key", headers, body, signal } = options;
-    const answer = await request(`http://${address}${path}`, {
+    const response = await request(`http://${address}${path}`, {
         method,
         headers: { authorization: `Bearer ${key}`, "content-type": "application/json", ...headers },
         body: body === undefined ? undefined : typeof body === "string" ? body : JSON.stringify(body),
@@ -31,7 +31,7 @@
     const chunks: Buffer[] = [];
     let isBroken = false;
     try {
-        for await (const chunk of answer.body) {
+        for await (const chunk of response.body) {
             chunks.push(chunk as Buffer);
         }
     }
@@ -39,23 +39,23 @@
         isBroken = true;
     }
     return {
-        status: answer.statusCode,
-        headers: answer.headers,
+        status: response.statusCode,
+        headers: response.headers,
         body: Buffer.concat(chunks).toString("utf8"),
         isBroken,
     };
 }
 
-/** One completion as a caller sees it. */
+/** Completion as a caller receives it. */
 export interface CompletionResult extends CallerResult {
-    /** Words of the answer, in order. */
+    /** Concatenated content of the response. */
     readonly text: string;
-    /** Every model that the answer named. */
+    /** All models named in the response. */
     readonly models: ReadonlySet<string>;
     readonly hasEndMark: boolean;
 }
 
-/** Asks for a completion, streamed unless told otherwise. */
+/** Requests a completion, by default as a stream. */
 export async function sendCompletion(
     address: string,
     model: string,
@@ -85,7 +85,7 @@
     const models = new Set<string>();
     let text = "";
     let hasEndMark = false;
-    const add = (data: string): void => {
+    const addData = (data: string): void => {
         if (data === "[DONE]") {
             hasEndMark = true;
             return;
@@ -100,9 +100,9 @@
         return { text, models, hasEndMark };
     }
     if (!isStream) {
-        add(result.body);
+        addData(result.body);
         return { text, models, hasEndMark: true };
     }
-    createParser({ onEvent: event => add(event.data) }).feed(result.body);
+    createParser({ onEvent: event => addData(event.data) }).feed(result.body);
     return { text, models, hasEndMark };
 }
--- a/packages/harness/src/demo.ts
+++ b/packages/harness/src/demo.ts
@@ -1,5 +1,8 @@
 #!/usr/bin/env node
-/** The main job on the stand-ins: start everything, apply the examples, send real requests, show who answered. */
+/**
+ * Demo on the fakes: starts all processes, applies the example offerings, sends requests and prints the responses.
+ * With `--serve` the processes run until they are interrupted.
+ */
 import { fileURLToPath } from "node:url";
 import { sendCompletion, sendRequest } from "./calls.js";
 import { Deployment } from "./deployment.js";
@@ -47,34 +50,34 @@
 async function printRequests(callers: string): Promise<void> {
     for (const model of ["declaration@2", "manifest@1"]) {
         const result = await sendCompletion(callers, model);
-        const isRight = result.hasEndMark && result.models.size === 1 && result.models.has(model);
+        const isComplete = result.hasEndMark && result.models.size === 1 && result.models.has(model);
         print(
             `completion of ${model}: ${result.status}, ${
-                isRight ? "whole, by the model it named" : "WRONG"
+                isComplete ? "complete, from the requested model" : "WRONG"
             }: ${result.text.trim()}`,
         );
-        if (!isRight) {
+        if (!isComplete) {
             throw new Error(`${model}: ${result.status} ${result.body}`);
         }
     }
     const tokens = await sendRequest(callers, "/v1/request-tokens", { body: { count: 1 } });
     const [token] = (JSON.parse(tokens.body) as { tokens: string[]; }).tokens;
-    const print1 = await sendRequest(callers, "/v1/services/labels/print", {
+    const firstResponse = await sendRequest(callers, "/v1/services/labels/print", {
         body: { parcel: 7 },
         headers: { "x-request-token": token! },
     });
-    const print2 = await sendRequest(callers, "/v1/services/labels/print", {
+    const repeatedResponse = await sendRequest(callers, "/v1/services/labels/print", {
         body: { parcel: 7 },
         headers: { "x-request-token": token! },
     });
-    print(`label printed: ${print1.status} ${print1.body.trim()}`);
+    print(`label printed: ${firstResponse.status} ${firstResponse.body.trim()}`);
     print(
-        `asked again with the same request token: ${print2.status}, ${
-            print1.body === print2.body ? "the same answer, printed once" : "WRONG"
+        `repeated with the same request token: ${repeatedResponse.status}, ${
+            firstResponse.body === repeatedResponse.body ? "same response, printed once" : "WRONG"
         }`,
     );
-    if (print1.status !== 200 || print1.body !== print2.body) {
-        throw new Error(print2.body);
+    if (firstResponse.status !== 200 || firstResponse.body !== repeatedResponse.body) {
+        throw new Error(repeatedResponse.body);
     }
 }
 
--- a/packages/harness/src/deployment.ts
+++ b/packages/harness/src/deployment.ts
@@ -7,18 +7,18 @@
 import { request } from "undici";
 import { ManagedProcess } from "./process.js";
 
-/** Directory of the workspace's packages. */
+/** Directory that holds the workspace's packages. */
 const packagesDirectory = fileURLToPath(new URL("../../../", import.meta.url));
 
-/** Key that operators of a test deployment use. */
+/** Operator key of a test deployment. */
 export const operatorKey = "operator-key";
 
 const secret = "a secret of the test deployment";
 
-/** The part of a program's settings that a test or the demo chooses. */
+/** Settings of a program that replace the defaults of {@link Deployment}. */
 export type SettingsOverrides = Readonly<Record<string, unknown>>;
 
-/** One agent of a deployment. */
+/** Running agent of a deployment, with the addresses it listens on. */
 export interface AgentProcess {
     readonly id: string;
     readonly dataCentre: string;
@@ -28,7 +28,7 @@
     metrics: string;
 }
 
-/** One gateway of a deployment. */
+/** Running gateway of a deployment, with the addresses it listens on. */
 export interface GatewayProcess {
     readonly id: string;
     readonly dataCentre: string;
@@ -38,23 +38,23 @@
     metrics: string;
 }
 
-/** SHA-256 of a key, as offerings and settings hold it. */
+/** Returns the SHA-256 digest of a key, as offerings and settings hold it. */
 export function createKeyDigest(key: string): string {
     return createHash("sha256").update(key).digest("hex");
 }
 
-/** Path of a program's script. */
+/** Returns the path of a program's script. */
 export function findScript(program: "agent" | "gateway" | "fakes" | "cli" | "load"): string {
     return path.join(packagesDirectory, program, "dist/src/main.js");
 }
 
-/** A deployment of real processes on loopback, with ports chosen by the system. */
+/** Deployment of processes that listen on loopback, on ports chosen by the system. */
 export class Deployment {
     readonly agents: AgentProcess[] = [];
     readonly gateways: GatewayProcess[] = [];
     private fakes: ManagedProcess | undefined;
     private fakesAddresses: FakesAddresses | undefined;
-    private count = 0;
+    private fileCount = 0;
 
     private constructor(private readonly directory: string) {}
 
@@ -64,15 +64,15 @@
 
     get addresses(): FakesAddresses {
         if (this.fakesAddresses === undefined) {
-            throw new Error("the fakes of the deployment are not started");
+            throw new Error("the fakes of the deployment have not been started");
         }
         return this.fakesAddresses;
     }
 
-    /** Starts the stand-ins. */
+    /** Starts the fakes, in one process. */
     async startFakes(settings: FakesOptions): Promise<FakesAddresses> {
-        const whole = fakesSettingsSchema.parse(settings);
-        const { process, ready } = await this.startProgram("fakes", "fakes", whole);
+        const fullSettings = fakesSettingsSchema.parse(settings);
+        const { process, ready } = await this.startProgram("fakes", "fakes", fullSettings);
         this.fakes = process;
         this.fakesAddresses = ready as unknown as FakesAddresses;
         return this.fakesAddresses;
@@ -112,38 +112,38 @@
         return gateway;
     }
 
-    /** Runs the operators' command line. */
+    /** Runs the command line for operators to its end. */
     async runCli(...args: string[]): Promise<{ code: number; stdout: string; stderr: string; }> {
         return runScript(findScript("cli"), ["--key", operatorKey, ...args]);
     }
 
-    /** Puts files in force through one agent. */
+    /** Applies offerings files through one agent. */
     async apply(agent: AgentProcess, ...files: string[]): Promise<void> {
         const { code, stdout, stderr } = await this.runCli("apply", "--agent", agent.operators, ...files);
         if (code !== 0) {
-            throw new Error(`apply ended with ${code}: ${stdout}${stderr}`);
+            throw new Error(`apply exited with code ${code}: ${stdout}${stderr}`);
         }
     }
 
-    /** Writes a file into the deployment's own directory and returns its path. */
+    /** Writes a JSON file into the deployment's directory and returns its path. */
     async writeFile(name: string, value: unknown): Promise<string> {
         const file = path.join(this.directory, name);
         await writeFile(file, JSON.stringify(value));
         return file;
     }
 
-    /** Sets the faults of a stand-in. */
+    /** Replaces the fault rules of a fake. */
     async setFaults(address: string, rules: readonly object[]): Promise<void> {
         await (await request(`http://${address}/faults`, { method: "PUT", body: JSON.stringify(rules) })).body.dump();
     }
 
-    /** Replaces the platform's list of VMs. */
+    /** Replaces the VMs in the fake VM list. */
     async setVms(vms: readonly FakeVm[]): Promise<void> {
         await (await request(`http://${this.addresses.vmList}/vms`, { method: "PUT", body: JSON.stringify(vms) })).body
             .dump();
     }
 
-    /** Ends every process, and removes the deployment's files. */
+    /** Kills all processes and removes the deployment's files. */
     async stop(): Promise<void> {
         const processes = [...this.gateways, ...this.agents].map(entry => entry.process);
         await Promise.all([...processes, this.fakes].map(async process => process?.kill()));
@@ -151,12 +151,12 @@
     }
 
     private async startProgram(name: string, program: "agent" | "gateway" | "fakes", settings: object) {
-        const file = await this.writeFile(`${name}-${++this.count}.json`, settings);
+        const file = await this.writeFile(`${name}-${++this.fileCount}.json`, settings);
         return ManagedProcess.start(name, findScript(program), ["--settings", file]);
     }
 }
 
-/** Runs a script to its end. */
+/** Runs a script to its end and returns its exit code and output. */
 export async function runScript(
     script: string,
     args: readonly string[],
--- a/packages/harness/src/index.ts
+++ b/packages/harness/src/index.ts
@@ -1,4 +1,4 @@
-/** Processes, requests and waits for the demo, the tests and the measurements. */
+/** Starts processes, sends requests and waits for conditions, for the demo, the tests and the benchmarks. */
 export { type CallerOptions, type CallerResult, type CompletionResult, sendCompletion, sendRequest } from "./calls.js";
 export {
     type AgentProcess,
--- a/packages/harness/src/process.ts
+++ b/packages/harness/src/process.ts
@@ -2,12 +2,12 @@
 import { once } from "node:events";
 import { createInterface } from "node:readline";
 
-/** Lines of a program's log that are kept to explain a failure. */
-const maxKeptLines = 200;
+/** Number of log lines that are kept for error messages. */
+const maxLogLines = 200;
 
-/** A program started for the demo, a test or a measurement. The product itself starts none. */
+/** Child process of the demo, a test or a benchmark. The product itself starts no processes. */
 export class ManagedProcess {
-    /** Last lines that the program wrote to standard error. */
+    /** Last lines that the process wrote to standard error. */
     readonly lines: string[] = [];
     private readonly exited: Promise<number | undefined>;
 
@@ -15,13 +15,13 @@
         this.exited = once(child, "exit").then(([code]) => (code as number | null) ?? undefined);
         createInterface({ input: child.stderr! }).on("line", line => {
             this.lines.push(line);
-            if (this.lines.length > maxKeptLines) {
+            if (this.lines.length > maxLogLines) {
                 this.lines.shift();
             }
         });
     }
 
-    /** Starts a script and waits for the line of JSON in which it says that it is ready. */
+    /** Starts a script and waits for the line of JSON that reports its readiness. */
     static async start(
         name: string,
         script: string,
@@ -33,7 +33,9 @@
         const ready = await Promise.race([
             once(lines, "line").then(([line]) => JSON.parse(line as string) as Record<string, unknown>),
             managed.exited.then(code => {
-                throw new Error(`${name} ended with ${String(code)} before it was ready:\n${managed.lines.join("\n")}`);
+                throw new Error(
+                    `${name} exited with code ${String(code)} before it was ready:\n${managed.lines.join("\n")}`,
+                );
             }),
         ]);
         return { process: managed, ready };
@@ -52,18 +54,18 @@
         this.child.kill(signal);
     }
 
-    /** Waits for the program's end. Returns its exit code, or undefined if a signal ended it. */
+    /** Waits for the exit of the process. Returns its exit code, or undefined if a signal ended it. */
     waitForExit(): Promise<number | undefined> {
         return this.exited;
     }
 
-    /** Stops as an operator does, and waits. */
+    /** Sends SIGTERM and waits for the exit. Returns the same as {@link waitForExit}. */
     async stop(): Promise<number | undefined> {
         this.signal("SIGTERM");
         return this.exited;
     }
 
-    /** Ends at once, as a VM that fails does, also if it is frozen. */
+    /** Kills the process, also if it is frozen, and waits for its exit. Simulates the failure of a VM. */
     async kill(): Promise<void> {
         if (!this.isRunning) {
             return;
--- a/packages/harness/src/soak.ts
+++ b/packages/harness/src/soak.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * A soak: real processes under load, with failures drawn at random one after the other and two at once. It checks what
- * must always hold, and counts what callers were told. Arguments: --seed N --minutes N.
+ * Soak test: runs processes under load and injects random failures, one or two at a time. Checks the responses and
+ * verdicts of the callers against the runs of the fakes, and counts the verdicts. Arguments: --seed N --minutes N.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import { parseArgs } from "node:util";
@@ -15,7 +15,7 @@
 
 const dataCentre = "soak";
 const models = ["a@1", "b@1", "c@1", "d@1", "e@1", "f@1"];
-const quickAgent = {
+const fastAgentSettings = {
     leaseMs: 1500,
     reportLagMs: 100,
     statusMs: 100,
@@ -24,24 +24,36 @@
     peerSilenceMs: 600,
     logWaitMs: 500,
 };
-const quickGateway = { renewMs: 100, heartbeatMs: 100, peerSilenceMs: 600, silenceMs: 1500, defaultDeadlineMs: 5000 };
+const fastGatewaySettings = {
+    renewMs: 100,
+    heartbeatMs: 100,
+    peerSilenceMs: 600,
+    silenceMs: 1500,
+    defaultDeadlineMs: 5000,
+};
 
-/** Callers that ask at the same time, and the pause of each between two requests, in milliseconds. */
-const callers = 12;
-const pauseMs = 30;
+/** Number of concurrent callers. */
+const callerCount = 12;
 
-/** Time between two failures, in milliseconds. */
-const failureEveryMs = 2500;
+/** Pause of a caller between two requests, in milliseconds. */
+const callerPauseMs = 30;
 
-/** What callers were told, and what of it was false. */
+/** Time between two injections of failures, in milliseconds. */
+const failureIntervalMs = 2500;
+
+/** Result of a soak test. */
 interface Tally {
+    /** Number of requests by their last verdict. */
     told: Record<string, number>;
+    /** Descriptions of wrong responses, wrong verdicts and evictions of adapters in use. */
     falsehoods: string[];
+    /** Requests with the verdict `may-have-run` that did not run. */
     falseMayHaveRun: number;
+    /** Calls with a request token that ran more than once. */
     doubleRuns: number;
 }
 
-/** Linear congruential: enough to draw failures, and the same for the same seed everywhere. */
+/** Creates a linear congruential generator, which gives the same sequence for a seed on every machine. */
 function createRandom(seed: number): () => number {
     let state = seed;
     return () => {
@@ -54,20 +66,20 @@
     private readonly tally: Tally = { told: {}, falsehoods: [], falseMayHaveRun: 0, doubleRuns: 0 };
     private readonly verdicts = new Map<string, string>();
     private isOver = false;
-    private count = 0;
+    private requestCount = 0;
 
     constructor(private readonly deployment: Deployment, private readonly random: () => number) {}
 
     async run(durationMs: number): Promise<Tally> {
-        const asking = Array.from({ length: callers }, () => this.ask());
+        const callerLoops = Array.from({ length: callerCount }, () => this.runCaller());
         const end = performance.now() + durationMs;
         while (performance.now() < end) {
-            await sleep(failureEveryMs);
+            await sleep(failureIntervalMs);
             const failures = this.random() < 0.3 ? 2 : 1;
             await Promise.all(Array.from({ length: failures }, () => this.runFailure()));
         }
         this.isOver = true;
-        await Promise.all(asking);
+        await Promise.all(callerLoops);
         await sleep(2000);
         await this.checkRuns();
         return this.tally;
@@ -75,16 +87,16 @@
 
     // Callers.
 
-    private async ask(): Promise<void> {
+    private async runCaller(): Promise<void> {
         while (!this.isOver) {
-            await sleep(pauseMs);
+            await sleep(callerPauseMs);
             const gateway = this.chooseGateway();
             if (gateway === undefined) {
                 continue;
             }
-            const id = `r${++this.count}`;
-            const isOnce = this.random() < 0.3;
-            await (isOnce ? this.print(id, gateway) : this.sendCompletion(id, gateway)).catch(() =>
+            const id = `r${++this.requestCount}`;
+            const mustRunOnce = this.random() < 0.3;
+            await (mustRunOnce ? this.printLabel(id, gateway) : this.sendCompletion(id, gateway)).catch(() =>
                 this.record(id, "noAnswer")
             );
         }
@@ -108,8 +120,8 @@
             this.record(id, readVerdict(result.body));
             return;
         }
-        if ([...result.models].some(answered => answered !== model)) {
-            this.tally.falsehoods.push(`${id} asked for ${model} and was answered by ${[...result.models].join()}`);
+        if ([...result.models].some(servedModel => servedModel !== model)) {
+            this.tally.falsehoods.push(`${id} asked for ${model} and was served by ${[...result.models].join()}`);
         }
         const expected = Array.from({ length: 10 }, (_, index) => `${model}#${index} `).join("");
         const isWhole = !result.isBroken && result.hasEndMark;
@@ -119,8 +131,8 @@
         this.record(id, isWhole ? "complete" : "broken");
     }
 
-    /** Prints a label, and asks again elsewhere as often as a caller would who wants to know. */
-    private async print(id: string, gateway: GatewayProcess): Promise<void> {
+    /** Prints a label, and repeats the call through other gateways up to three times until it succeeds. */
+    private async printLabel(id: string, gateway: GatewayProcess): Promise<void> {
         const issued = await sendRequest(gateway.callers, "/v1/request-tokens", {
             body: { count: 1 },
             signal: AbortSignal.timeout(5000),
@@ -165,17 +177,17 @@
             ["stop a gateway", () => this.restartGateway(true)],
             ["freeze an agent", () => this.pauseProcess(this.deployment.agents)],
             ["freeze a gateway", () => this.pauseProcess(this.deployment.gateways)],
-            ["engine starts cold", () => sendRequest(engine, "/restart", {}).then(() => undefined)],
+            ["engine restarts without adapters", () => sendRequest(engine, "/restart", {}).then(() => undefined)],
             [
-                "engine loses answers",
+                "engine loses responses",
                 () => this.deployment.setFaults(engine, [{ operation: "completion", action: "loseAnswer", count: 5 }]),
             ],
             [
-                "engine goes silent",
+                "engine stops responding",
                 () => this.deployment.setFaults(engine, [{ operation: "completion", action: "silent", count: 3 }]),
             ],
             [
-                "engine truncates",
+                "engine truncates responses",
                 () =>
                     this.deployment.setFaults(engine, [{
                         operation: "completion",
@@ -186,19 +198,19 @@
             ],
             ["loads fail", () => this.deployment.setFaults(engine, [{ operation: "load", action: "fail", count: 3 }])],
             [
-                "evictions lose answers",
+                "evictions lose responses",
                 () => this.deployment.setFaults(engine, [{ operation: "unload", action: "loseAnswer", count: 3 }]),
             ],
             [
-                "service loses answers",
+                "service loses responses",
                 () => this.deployment.setFaults(service, [{ operation: "call", action: "loseAnswer", count: 5 }]),
             ],
             [
-                "service refuses",
+                "service rejects calls",
                 () => this.deployment.setFaults(service, [{ operation: "call", action: "refuse", count: 5 }]),
             ],
             [
-                "log is out",
+                "log rejects requests",
                 () =>
                     this.deployment.setFaults(this.deployment.addresses.log, [{
                         operation: "*",
@@ -207,7 +219,7 @@
                     }]),
             ],
             [
-                "VM list is silent",
+                "VM list does not respond",
                 () =>
                     this.deployment.setFaults(this.deployment.addresses.vmList, [{
                         operation: "list",
@@ -223,35 +235,39 @@
 
     private async restartAgent(isPlanned: boolean): Promise<void> {
         const running = this.deployment.agents.filter(agent => agent.process.isRunning);
-        const victim = running[Math.floor(this.random() * running.length)];
-        if (victim === undefined || running.length < 2) {
+        const chosenAgent = running[Math.floor(this.random() * running.length)];
+        if (chosenAgent === undefined || running.length < 2) {
             return;
         }
-        await (isPlanned ? victim.process.stop() : victim.process.kill());
-        await this.deployment.startAgent(`agent-${this.deployment.agents.length + 1}`, dataCentre, quickAgent);
+        await (isPlanned ? chosenAgent.process.stop() : chosenAgent.process.kill());
+        await this.deployment.startAgent(`agent-${this.deployment.agents.length + 1}`, dataCentre, fastAgentSettings);
     }
 
     private async restartGateway(isPlanned: boolean): Promise<void> {
         const running = this.deployment.gateways.filter(gateway => gateway.process.isRunning);
-        const victim = running[Math.floor(this.random() * running.length)];
-        if (victim === undefined || running.length < 2) {
+        const chosenGateway = running[Math.floor(this.random() * running.length)];
+        if (chosenGateway === undefined || running.length < 2) {
             return;
         }
-        await (isPlanned ? victim.process.stop() : victim.process.kill());
-        await this.deployment.startGateway(`gateway-${this.deployment.gateways.length + 1}`, dataCentre, quickGateway);
+        await (isPlanned ? chosenGateway.process.stop() : chosenGateway.process.kill());
+        await this.deployment.startGateway(
+            `gateway-${this.deployment.gateways.length + 1}`,
+            dataCentre,
+            fastGatewaySettings,
+        );
     }
 
     private async pauseProcess(
-        from: readonly { process: { isRunning: boolean; signal(signal: NodeJS.Signals): void; }; }[],
+        candidates: readonly { process: { isRunning: boolean; signal(signal: NodeJS.Signals): void; }; }[],
     ): Promise<void> {
-        const running = from.filter(entry => entry.process.isRunning);
-        const victim = running[Math.floor(this.random() * running.length)];
-        victim?.process.signal("SIGSTOP");
+        const running = candidates.filter(entry => entry.process.isRunning);
+        const chosenProcess = running[Math.floor(this.random() * running.length)];
+        chosenProcess?.process.signal("SIGSTOP");
         await sleep(500 + this.random() * 2500);
-        victim?.process.signal("SIGCONT");
+        chosenProcess?.process.signal("SIGCONT");
     }
 
-    // What truly ran.
+    // Comparison with the runs of the fakes.
 
     private async checkRuns(): Promise<void> {
         const ran = new Map<string, number>();
@@ -259,7 +275,7 @@
             const { runs, unsafeEvictions } = await readRuns(address);
             runs.forEach(run => ran.set(run.user ?? "", (ran.get(run.user ?? "") ?? 0) + 1));
             unsafeEvictions?.forEach(eviction =>
-                this.tally.falsehoods.push(`evicted in use: ${JSON.stringify(eviction)}`)
+                this.tally.falsehoods.push(`adapter evicted in use: ${JSON.stringify(eviction)}`)
             );
         }
         for (const address of Object.values(this.deployment.addresses.services)) {
@@ -271,7 +287,7 @@
         }
         for (const [id, verdict] of this.verdicts) {
             if (verdict === "not-run" && ran.has(id)) {
-                this.tally.falsehoods.push(`${id} was told not-run and ran`);
+                this.tally.falsehoods.push(`${id} got verdict not-run but ran`);
             }
             this.tally.falseMayHaveRun += verdict === "may-have-run" && !ran.has(id) ? 1 : 0;
         }
@@ -305,7 +321,7 @@
             services: [{ id: "labels-1", dataCentre, service: "labels" }],
         });
         for (const id of ["agent-1", "agent-2", "agent-3"]) {
-            await deployment.startAgent(id, dataCentre, quickAgent);
+            await deployment.startAgent(id, dataCentre, fastAgentSettings);
         }
         const file = await deployment.writeFile("offerings.json", {
             customers: {
@@ -323,7 +339,7 @@
         });
         await deployment.apply(deployment.agents[0]!, file);
         for (const id of ["gateway-1", "gateway-2", "gateway-3"]) {
-            await deployment.startGateway(id, dataCentre, quickGateway);
+            await deployment.startGateway(id, dataCentre, fastGatewaySettings);
         }
         const tally = await new Soak(deployment, createRandom(Number(options.seed))).run(
             Number(options.minutes) * 60_000,
--- a/packages/harness/src/wait.ts
+++ b/packages/harness/src/wait.ts
@@ -1,12 +1,16 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Interval between two looks, in milliseconds. */
+/** Interval between two checks, in milliseconds. */
 const pollMs = 20;
 
-/** Longest wait before something that should happen counts as never happening, in milliseconds. */
+/** Default time after which a wait fails, in milliseconds. */
 const defaultTimeoutMs = 20_000;
 
-/** Waits until `check` gives something, and fails loudly if it never does. */
+/**
+ * Calls `check` until it returns a value other than undefined and false, and returns this value.
+ *
+ * @throws Error if `timeoutMs` passes first; its message names `what`.
+ */
 export async function waitFor<Value>(
     what: string,
     check: () => Promise<Value | undefined | false> | Value | undefined | false,
@@ -20,5 +24,5 @@
         }
         await sleep(pollMs);
     }
-    throw new Error(`waited ${timeoutMs} ms for ${what}`);
+    throw new Error(`timed out after ${timeoutMs} ms while waiting for ${what}`);
 }
