--- a/packages/fakes/src/engine.ts
+++ b/packages/fakes/src/engine.ts
@@ -2,45 +2,45 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request as sendRequest } from "undici";
 import type { FaultRule } from "./faults.js";
-import type { FakeOptions } from "./listener.js";
-import { type FakeAnswer, type FakeRequest, FakeServer } from "./server.js";
+import type { FakeListenerOptions } from "./listener.js";
+import { type FakeRequest, type FakeResponse, FakeServer } from "./server.js";
 
 /** Options of {@link FakeEngine}. */
-export interface FakeEngineOptions extends FakeOptions {
+export interface FakeEngineOptions extends FakeListenerOptions {
     readonly id: string;
-    /** Adapters it holds at once. @default 4 */
+    /** Number of adapter slots. @default 4 */
     readonly slots?: number;
-    /** Requests in one batch. @default 8 */
+    /** Maximum number of requests in a batch, as the status reports it. @default 8 */
     readonly batchRoom?: number;
-    /** Time of one step of the batch, in milliseconds. @default 5 */
+    /** Time for each token, in milliseconds. @default 5 */
     readonly tokenMs?: number;
-    /** Tokens of an answer unless the request's `max_tokens` says fewer. @default 8 */
+    /** Maximum number of tokens in a response; `max_tokens` of a request can lower it. @default 8 */
     readonly tokens?: number;
-    /** `host:port` of the weight store; without one a load takes `loadMs`. */
+    /** `host:port` of the weight store. Without a store, a load takes `loadMs`. */
     readonly store?: string;
-    /** @default 20 */
+    /** Time of a load without a weight store, in milliseconds. @default 20 */
     readonly loadMs?: number;
-    /** Takes orders whatever their fencing token. @default false */
+    /** Accepts orders with any fencing token. @default false */
     readonly ignoresFence?: boolean;
-    /** Answers with the base model where the adapter is not loaded, as some engines do. @default false */
+    /** Serves the base model if the adapter is not loaded, as some engines do. @default false */
     readonly servesBaseModel?: boolean;
-    /** Age of the running counts that it reports, in milliseconds. @default 0 */
+    /** Age of the reported counts of running requests, in milliseconds. @default 0 */
     readonly reportLagMs?: number;
 }
 
-/** One completion that the engine began. */
+/** Completion that the engine started. */
 export interface EngineRun {
     readonly callId: string | undefined;
     readonly model: string;
     readonly servedBy: string;
-    /** The request's own `user`, by which a test knows it again. */
+    /** `user` of the request, by which a test identifies the request. */
     readonly user: string | undefined;
-    /** Time of day, in milliseconds. */
+    /** Wall-clock time, in milliseconds since the epoch. */
     readonly startedAt: number;
     ended: boolean;
 }
 
-/** An eviction of an adapter that a request was using: what must never happen. */
+/** Eviction of an adapter in use by running requests. The owner of an engine must never order one. */
 export interface UnsafeEviction {
     readonly model: string;
     readonly running: number;
@@ -59,13 +59,13 @@
     readonly role?: string;
 }
 
-interface LoadReport {
-    readonly at: number;
+interface RunningSnapshot {
+    readonly recordedAt: number;
     readonly running: Record<string, number>;
 }
 
 /**
- * Stand-in for a model engine. It answers with the words of the model's name, so that a caller can tell who answered.
+ * Fake model engine. Each token of its responses holds the model name, so that a caller can tell which model served it.
  * Operations: `completion`, `load`, `unload`, `claim`, `role`, `status`.
  */
 export class FakeEngine extends FakeServer {
@@ -78,28 +78,28 @@
     private isLeaving = false;
     private readonly loaded = new Set<string>();
     private readonly running = new Map<string, number>();
-    private reports: LoadReport[] = [];
+    private runningSnapshots: RunningSnapshot[] = [];
 
     constructor(private readonly options: FakeEngineOptions) {
         super(options);
         this.id = options.id;
     }
 
-    /** Forgets everything, as a process that starts anew does. */
+    /** Resets instance, fencing token, leaving state and adapters, as a restart of the process does. */
     restart(): void {
         this.instance = createInstance();
         this.fence = 0;
         this.isLeaving = false;
         this.loaded.clear();
-        this.reports = [];
+        this.runningSnapshots = [];
     }
 
-    /** Says from now on that it leaves. It goes on serving. */
+    /** Announces from now on that the engine is leaving. The engine continues to serve. */
     setLeaving(): void {
         this.isLeaving = true;
     }
 
-    listLoaded(): string[] {
+    listLoadedAdapters(): string[] {
         return [...this.loaded];
     }
 
@@ -114,7 +114,7 @@
         request: FakeRequest,
         response: ServerResponse,
         fault: FaultRule | undefined,
-    ): Promise<FakeAnswer | undefined> {
+    ): Promise<FakeResponse | undefined> {
         if (request.path === "/status") {
             return { status: 200, body: this.readStatus() };
         }
@@ -135,15 +135,15 @@
         return this.runCompletion(request, response, fault);
     }
 
-    /** A leaving engine says so with every answer. */
+    /** Creates the header with which a leaving engine announces itself in its streams. */
     private createStateHeader(): Record<string, string> {
         return this.isLeaving ? { "x-upstream-state": "leaving" } : {};
     }
 
     private readStatus(): unknown {
-        this.recordReport();
-        const horizon = performance.now() - (this.options.reportLagMs ?? 0);
-        const report = this.reports.findLast(entry => entry.at <= horizon);
+        this.recordRunningCounts();
+        const newestVisibleAt = performance.now() - (this.options.reportLagMs ?? 0);
+        const snapshot = this.runningSnapshots.findLast(entry => entry.recordedAt <= newestVisibleAt);
         return {
             instance: this.instance,
             state: this.isLeaving ? "leaving" : "live",
@@ -151,19 +151,19 @@
             fence: this.fence,
             slots: this.options.slots ?? 4,
             batchRoom: this.options.batchRoom ?? 8,
-            adapters: [...this.loaded].map(model => ({ model, running: report?.running[model] ?? 0 })),
+            adapters: [...this.loaded].map(model => ({ model, running: snapshot?.running[model] ?? 0 })),
         };
     }
 
-    private recordReport(): void {
-        this.reports.push({ at: performance.now(), running: Object.fromEntries(this.running) });
-        const horizon = performance.now() - (this.options.reportLagMs ?? 0);
-        while (this.reports.length > 1 && this.reports[1]!.at <= horizon) {
-            this.reports.shift();
+    private recordRunningCounts(): void {
+        this.runningSnapshots.push({ recordedAt: performance.now(), running: Object.fromEntries(this.running) });
+        const newestVisibleAt = performance.now() - (this.options.reportLagMs ?? 0);
+        while (this.runningSnapshots.length > 1 && this.runningSnapshots[1]!.recordedAt <= newestVisibleAt) {
+            this.runningSnapshots.shift();
         }
     }
 
-    private async runOrder(kind: string, order: Order): Promise<FakeAnswer> {
+    private async runOrder(kind: string, order: Order): Promise<FakeResponse> {
         if (!this.options.ignoresFence && order.fence < this.fence) {
             return { status: 409, body: { error: { code: "stale_fence", fence: this.fence } } };
         }
@@ -183,7 +183,7 @@
         }
     }
 
-    private async load(model: string): Promise<FakeAnswer> {
+    private async load(model: string): Promise<FakeResponse> {
         if (this.loaded.has(model)) {
             return { status: 200, body: { model } };
         }
@@ -206,7 +206,7 @@
         return { status: 200, body: { model } };
     }
 
-    private evict(model: string): FakeAnswer {
+    private evict(model: string): FakeResponse {
         const running = this.running.get(model) ?? 0;
         if (running > 0) {
             this.unsafeEvictions.push({ model, running });
@@ -219,7 +219,7 @@
         request: FakeRequest,
         response: ServerResponse,
         fault: FaultRule | undefined,
-    ): Promise<FakeAnswer | undefined> {
+    ): Promise<FakeResponse | undefined> {
         const body = JSON.parse(request.body) as CompletionBody;
         const model = body.model ?? "";
         if (!this.loaded.has(model) && !this.options.servesBaseModel) {
@@ -237,21 +237,21 @@
         };
         this.runs.push(run);
         this.running.set(servedBy, (this.running.get(servedBy) ?? 0) + 1);
-        this.recordReport();
+        this.recordRunningCounts();
         try {
-            const echo = fault?.action === "wrongModel" ? "other@1" : servedBy;
+            const echoedModel = fault?.action === "wrongModel" ? "other@1" : servedBy;
             const tokens = Math.min(body.max_tokens ?? Infinity, this.options.tokens ?? 8);
             if (body.stream) {
-                await this.sendStream(response, echo, tokens, fault);
+                await this.sendStream(response, echoedModel, tokens, fault);
                 return undefined;
             }
             await sleep(tokens * (this.options.tokenMs ?? 5));
-            return { status: 200, headers: { "x-served-by": this.id }, body: createCompletion(echo, tokens) };
+            return { status: 200, headers: { "x-served-by": this.id }, body: createCompletion(echoedModel, tokens) };
         }
         finally {
             run.ended = true;
             this.running.set(servedBy, (this.running.get(servedBy) ?? 1) - 1);
-            this.recordReport();
+            this.recordRunningCounts();
         }
     }
 
@@ -277,17 +277,17 @@
             "x-served-by": this.id,
             ...this.createStateHeader(),
         });
-        let budget = fault?.action === "truncate" || fault?.action === "cleanTruncate" ? fault.bytes : Infinity;
+        let remainingBytes = fault?.action === "truncate" || fault?.action === "cleanTruncate" ? fault.bytes : Infinity;
         const closed = new Promise<void>(resolve => response.once("close", resolve));
         for (const event of listEvents(model, tokens)) {
             if (response.destroyed) {
                 return;
             }
-            const part = budget === Infinity ? event : event.slice(0, budget);
-            budget -= part.length;
-            // The callback of a write never comes if the connection closes while bytes wait.
+            const part = remainingBytes === Infinity ? event : event.slice(0, remainingBytes);
+            remainingBytes -= part.length;
+            // If the connection closes while bytes are buffered, the callback of the write is never called.
             await Promise.race([new Promise<void>(resolve => response.write(part, () => resolve())), closed]);
-            if (budget <= 0) {
+            if (remainingBytes <= 0) {
                 if (fault?.action === "truncate") {
                     response.socket?.destroy();
                 }
@@ -308,7 +308,7 @@
     return `${Date.now()}-${Math.floor(Math.random() * 1e9)}`;
 }
 
-/** The events of one streamed answer, with the end mark last. */
+/** Lists the events of a streamed response, with the end mark last. */
 function* listEvents(model: string, tokens: number): Generator<string> {
     for (let index = 0; index < tokens; index++) {
         const choices = [{ index: 0, delta: { content: `${model}#${index} ` }, finish_reason: null }];
--- a/packages/fakes/src/faults.ts
+++ b/packages/fakes/src/faults.ts
@@ -1,53 +1,55 @@
 import { z } from "zod";
 
-/** What a fake does wrong. */
+/** Action of a fake that has a fault. */
 export const faultActionSchema = z.enum([
-    /** Acts `delayMs` late. */
+    /** Runs the operation after `delayMs`. */
     "delay",
-    /** Refuses before acting. */
+    /** Rejects the operation without running it. */
     "refuse",
-    /** Closes the connection before acting. */
+    /** Closes the connection without running the operation. */
     "dropBefore",
-    /** Acts, then closes the connection without an answer. */
+    /** Runs the operation, then closes the connection without a response. */
     "loseAnswer",
-    /** Acts, and never answers; the connection stays open. */
+    /** Runs the operation and sends no response; the connection stays open. */
     "silent",
-    /** Never acts and never answers. */
+    /** Neither runs the operation nor sends a response; the connection stays open. */
     "silentBefore",
-    /** Acts, and closes the connection after `bytes` bytes of the answer's body. */
+    /** Runs the operation, and closes the connection after `bytes` bytes of the response body. */
     "truncate",
-    /** Like `truncate`, but ends the answer as if it were whole. */
+    /** Like `truncate`, but ends the response as if it were complete. */
     "cleanTruncate",
-    /** Answers as if for another model. */
+    /** Names another model in the response. */
     "wrongModel",
-    /** Acts, then answers with a failure. */
+    /** Runs the operation, then responds with status 500. */
     "fail",
 ]);
 
-/** One rule of a fault table. */
+/** Rule of a fault table. */
 export const faultRuleSchema = z.strictObject({
-    /** Operation it is about, or `*`. */
+    /** Operation that the rule applies to, or `*` for all. */
     operation: z.string(),
     action: faultActionSchema,
-    /** Operations let through before it starts. */
+    /** Number of matching operations that run without the fault before the rule takes effect. */
     skip: z.number().int().nonnegative().default(0),
-    /** Operations it spoils. */
+    /** Number of matching operations that get the fault. */
     count: z.number().int().positive().default(1),
+    /** Delay of the action `delay`, in milliseconds. */
     delayMs: z.number().nonnegative().default(0),
+    /** Length of the truncated body, in bytes. */
     bytes: z.number().int().nonnegative().default(0),
 });
 
 /** See {@link faultRuleSchema}. */
 export type FaultRule = z.infer<typeof faultRuleSchema>;
 
-/** A rule with its defaults left out. */
+/** {@link FaultRule} in which fields with a default are optional. */
 export type FaultRuleOptions = z.input<typeof faultRuleSchema>;
 
-/** Faults that a fake still has to show. */
+/** Fault rules of a fake that are still to be applied. */
 export class FaultTable {
     private rules: { rule: FaultRule; skip: number; count: number; }[] = [];
 
-    /** Replaces every rule. */
+    /** Replaces all rules. */
     setRules(rules: readonly FaultRuleOptions[]): void {
         this.rules = rules.map(options => {
             const rule = faultRuleSchema.parse(options);
@@ -55,7 +57,7 @@
         });
     }
 
-    /** The fault to show at this operation, if any. */
+    /** Finds the rule to apply to an operation, if any, and counts its use. */
     findFault(operation: string): FaultRule | undefined {
         for (const entry of this.rules) {
             if ((entry.rule.operation !== "*" && entry.rule.operation !== operation) || entry.count === 0) {
--- a/packages/fakes/src/listener.ts
+++ b/packages/fakes/src/listener.ts
@@ -1,11 +1,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** Options that every fake has. */
-export interface FakeOptions {
+/** Options of all fakes. */
+export interface FakeListenerOptions {
     /** @default "127.0.0.1" */
     readonly host?: string;
-    /** 0 lets the system choose. @default 0 */
+    /** For 0 the system chooses a port. @default 0 */
     readonly port?: number;
 }
 
@@ -18,13 +18,13 @@
     return Buffer.concat(chunks);
 }
 
-/** An HTTP listener that can stop at once, as a VM that fails does. */
+/** HTTP listener that can stop abruptly, to simulate the failure of a VM. */
 export abstract class FakeListener {
     private readonly server: Server = createServer((request, response) => void this.receive(request, response));
     private readonly sockets = new Set<Socket>();
     private currentPort = 0;
 
-    constructor(private readonly fakeOptions: FakeOptions = {}) {
+    constructor(private readonly fakeOptions: FakeListenerOptions = {}) {
         this.server.on("connection", socket => {
             this.sockets.add(socket);
             socket.on("close", () => this.sockets.delete(socket));
@@ -35,7 +35,7 @@
         return `${this.fakeOptions.host ?? "127.0.0.1"}:${this.currentPort}`;
     }
 
-    /** Starts to listen. A second start after a stop takes the same port. */
+    /** Starts to listen, after a stop on the same port as before. Returns the address. */
     async start(): Promise<string> {
         const port = this.currentPort === 0 ? this.fakeOptions.port ?? 0 : this.currentPort;
         await new Promise<void>(resolve => this.server.listen(port, this.fakeOptions.host ?? "127.0.0.1", resolve));
@@ -43,7 +43,7 @@
         return this.address;
     }
 
-    /** Stops at once: connections are closed whatever they carry. */
+    /** Stops at once and closes all connections, also those with open requests. */
     async stop(): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         for (const socket of this.sockets) {
@@ -52,6 +52,6 @@
         await closed;
     }
 
-    /** Acts on a request and answers it. */
+    /** Handles a request and sends the response. */
     protected abstract receive(request: IncomingMessage, response: ServerResponse): Promise<void>;
 }
--- a/packages/fakes/src/log.ts
+++ b/packages/fakes/src/log.ts
@@ -1,25 +1,25 @@
-import type { FakeOptions } from "./listener.js";
-import { type FakeAnswer, type FakeRequest, FakeServer } from "./server.js";
+import type { FakeListenerOptions } from "./listener.js";
+import { type FakeRequest, type FakeResponse, FakeServer } from "./server.js";
 
 interface Stream {
-    /** Offset of the first record kept. */
+    /** Offset of the first stored record. */
     earliest: number;
     records: string[];
     waiters: Set<() => void>;
 }
 
-/** Most records in one page. */
+/** Maximum number of records in one page. */
 const pageSize = 500;
 
-/** Stand-in for the platform's log service. Operations: `append`, `read`. */
+/** Fake of the platform's log service. Operations: `append`, `read`, `trim`. */
 export class FakeLog extends FakeServer {
     private readonly streams = new Map<string, Stream>();
 
-    constructor(options: FakeOptions = {}) {
+    constructor(options: FakeListenerOptions = {}) {
         super(options);
     }
 
-    /** Drops every record below `offset`, as the end of their retention does. */
+    /** Drops all records below `offset`, as if their retention had ended. */
     removeBefore(streamName: string, offset: number): void {
         const stream = this.findStream(streamName);
         const dropped = Math.max(0, Math.min(offset - stream.earliest, stream.records.length));
@@ -27,7 +27,7 @@
         stream.earliest += dropped;
     }
 
-    /** Every record kept, for tests. */
+    /** Lists the stored records of a stream. */
     listRecords(streamName: string): readonly string[] {
         return this.findStream(streamName).records;
     }
@@ -39,7 +39,7 @@
         return request.method === "POST" ? "append" : "read";
     }
 
-    protected async run(request: FakeRequest): Promise<FakeAnswer> {
+    protected async run(request: FakeRequest): Promise<FakeResponse> {
         const [, root, name] = request.path.split("/");
         if (root === "trim" && name !== undefined) {
             this.removeBefore(name, Number(request.query.get("before")));
@@ -64,7 +64,7 @@
         return stream.earliest + stream.records.length - 1;
     }
 
-    private async read(stream: Stream, from: number, waitMs: number): Promise<FakeAnswer> {
+    private async read(stream: Stream, from: number, waitMs: number): Promise<FakeResponse> {
         if (from >= stream.earliest + stream.records.length && waitMs > 0) {
             await new Promise<void>(resolve => {
                 const timer = setTimeout(resolve, waitMs);
--- a/packages/fakes/src/main.ts
+++ b/packages/fakes/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** radishreel-fakes: the stand-ins for the platform and the upstreams, in one process. */
+/** radishreel-fakes: fakes of the platform and the upstreams, in one process. */
 import { loadSettings } from "@radishreel/settings";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
--- a/packages/fakes/src/server.ts
+++ b/packages/fakes/src/server.ts
@@ -4,7 +4,7 @@
 import { type FaultRule, faultRuleSchema, FaultTable } from "./faults.js";
 import { FakeListener, readBody } from "./listener.js";
 
-/** One request at a fake, read whole. */
+/** Request to a fake, with its complete body. */
 export interface FakeRequest {
     readonly method: string;
     readonly path: string;
@@ -13,26 +13,26 @@
     readonly body: string;
 }
 
-/** Answer of a fake. */
-export interface FakeAnswer {
+/** Response of a fake. */
+export interface FakeResponse {
     readonly status: number;
     readonly headers?: Record<string, string>;
     readonly body: unknown;
 }
 
-/** Base of the fakes: a listener with a fault table that `PUT /faults` replaces. */
+/** Base class of the fakes: a listener with a fault table, whose rules `PUT /faults` replaces. */
 export abstract class FakeServer extends FakeListener {
     readonly faults = new FaultTable();
 
-    /** Names the operation of a request for the fault table. */
+    /** Returns the name of a request's operation in the fault table. */
     protected abstract findOperation(request: FakeRequest): string;
 
-    /** Acts on a request. Undefined where it has answered by itself. */
+    /** Runs a request. Returns undefined if it has sent the response itself. */
     protected abstract run(
         request: FakeRequest,
         response: ServerResponse,
         fault: FaultRule | undefined,
-    ): Promise<FakeAnswer | undefined>;
+    ): Promise<FakeResponse | undefined>;
 
     protected override async receive(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
         const url = new URL(incoming.url ?? "/", "http://fake");
@@ -45,7 +45,7 @@
         };
         if (request.method === "PUT" && request.path === "/faults") {
             this.faults.setRules(z.array(faultRuleSchema).parse(JSON.parse(request.body)));
-            sendAnswer(response, { status: 200, body: {} });
+            sendResponse(response, { status: 200, body: {} });
             return;
         }
         await this.receiveOperation(request, response);
@@ -58,7 +58,7 @@
                 await sleep(fault.delayMs);
                 break;
             case "refuse":
-                sendAnswer(response, {
+                sendResponse(response, {
                     status: 503,
                     headers: { "x-not-run": "1" },
                     body: { error: { code: "refused" } },
@@ -71,14 +71,14 @@
                 return;
             default:
         }
-        const answer = await this.run(request, response, fault);
-        if (answer === undefined) {
+        const fakeResponse = await this.run(request, response, fault);
+        if (fakeResponse === undefined) {
             return;
         }
-        this.sendWithFault(response, answer, fault);
+        this.sendWithFault(response, fakeResponse, fault);
     }
 
-    private sendWithFault(response: ServerResponse, answer: FakeAnswer, fault: FaultRule | undefined): void {
+    private sendWithFault(response: ServerResponse, fakeResponse: FakeResponse, fault: FaultRule | undefined): void {
         switch (fault?.action) {
             case "loseAnswer":
                 response.socket?.destroy();
@@ -86,22 +86,28 @@
             case "silent":
                 return;
             case "fail":
-                sendAnswer(response, { status: 500, body: { error: { code: "failed" } } });
+                sendResponse(response, { status: 500, body: { error: { code: "failed" } } });
                 return;
             case "truncate": {
-                const text = formatBody(answer.body);
-                response.writeHead(answer.status, { ...answer.headers, "content-length": Buffer.byteLength(text) });
+                const text = formatBody(fakeResponse.body);
+                response.writeHead(fakeResponse.status, {
+                    ...fakeResponse.headers,
+                    "content-length": Buffer.byteLength(text),
+                });
                 response.write(Buffer.from(text).subarray(0, fault.bytes), () => response.socket?.destroy());
                 return;
             }
             case "cleanTruncate": {
-                const text = Buffer.from(formatBody(answer.body)).subarray(0, fault.bytes);
-                response.writeHead(answer.status, { "content-type": "application/json", ...answer.headers });
+                const text = Buffer.from(formatBody(fakeResponse.body)).subarray(0, fault.bytes);
+                response.writeHead(fakeResponse.status, {
+                    "content-type": "application/json",
+                    ...fakeResponse.headers,
+                });
                 response.end(text);
                 return;
             }
             default:
-                sendAnswer(response, answer);
+                sendResponse(response, fakeResponse);
         }
     }
 }
@@ -110,12 +116,12 @@
     return typeof body === "string" ? body : JSON.stringify(body);
 }
 
-/** Sends one answer whole. */
-export function sendAnswer(response: ServerResponse, answer: FakeAnswer): void {
-    const text = formatBody(answer.body);
-    response.writeHead(answer.status, {
+/** Sends a complete response. */
+export function sendResponse(response: ServerResponse, fakeResponse: FakeResponse): void {
+    const text = formatBody(fakeResponse.body);
+    response.writeHead(fakeResponse.status, {
         "content-type": "application/json",
-        ...answer.headers,
+        ...fakeResponse.headers,
         "content-length": Buffer.byteLength(text),
     });
     response.end(text);
--- a/packages/fakes/src/service.ts
+++ b/packages/fakes/src/service.ts
@@ -1,14 +1,14 @@
 import type { ServerResponse } from "node:http";
 import type { FaultRule } from "./faults.js";
-import type { FakeOptions } from "./listener.js";
-import { type FakeAnswer, type FakeRequest, FakeServer } from "./server.js";
+import type { FakeListenerOptions } from "./listener.js";
+import { type FakeRequest, type FakeResponse, FakeServer } from "./server.js";
 
 /** Options of {@link FakeService}. */
-export interface FakeServiceOptions extends FakeOptions {
+export interface FakeServiceOptions extends FakeListenerOptions {
     readonly id: string;
 }
 
-/** One call that the service acted on. */
+/** Call that the service ran. */
 export interface ServiceRun {
     readonly method: string;
     readonly path: string;
@@ -16,7 +16,7 @@
     readonly callId: string | undefined;
 }
 
-/** Stand-in for a plain service. It records what it ran. Operations: `call`, `status`. */
+/** Fake of a plain service, which records the calls that it runs. Operations: `call`, `status`. */
 export class FakeService extends FakeServer {
     readonly runs: ServiceRun[] = [];
     readonly id: string;
@@ -28,7 +28,7 @@
         this.id = options.id;
     }
 
-    /** Says from now on that it leaves. It goes on serving. */
+    /** Announces from now on that the service is leaving. The service continues to serve. */
     setLeaving(): void {
         this.isLeaving = true;
     }
@@ -41,7 +41,7 @@
         request: FakeRequest,
         _response: ServerResponse,
         _fault: FaultRule | undefined,
-    ): Promise<FakeAnswer> {
+    ): Promise<FakeResponse> {
         if (request.path === "/status") {
             return { status: 200, body: { instance: this.instance, state: this.isLeaving ? "leaving" : "live" } };
         }
--- a/packages/fakes/src/settings.ts
+++ b/packages/fakes/src/settings.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Settings of `radishreel-fakes`: the stand-ins to start in one process. Ports of 0 are chosen by the system. */
+/** Settings of `radishreel-fakes`: the fakes to start in one process. For a port of 0 the system chooses the port. */
 export const fakesSettingsSchema = z.strictObject({
     host: z.string().default("127.0.0.1"),
     logPort: z.number().int().default(0),
@@ -29,5 +29,5 @@
 
 /** See {@link fakesSettingsSchema}. */
 export type FakesSettings = z.infer<typeof fakesSettingsSchema>;
-/** {@link FakesSettings} in which what has a default may be left out. */
+/** {@link FakesSettings} in which settings with a default are optional. */
 export type FakesOptions = z.input<typeof fakesSettingsSchema>;
--- a/packages/fakes/src/start.ts
+++ b/packages/fakes/src/start.ts
@@ -5,7 +5,7 @@
 import { FakeWeightStore } from "./store.js";
 import { type FakeVm, FakeVmList } from "./vms.js";
 
-/** Where the stand-ins listen, as `radishreel-fakes` prints it. */
+/** Addresses that the fakes listen on, as `radishreel-fakes` prints them; engines and services by id. */
 export interface FakesAddresses {
     readonly log: string;
     readonly vmList: string;
@@ -14,7 +14,7 @@
     readonly services: Record<string, string>;
 }
 
-/** Every stand-in of one process. */
+/** Running fakes of one process. */
 export interface RunningFakes {
     readonly addresses: FakesAddresses;
     readonly log: FakeLog;
@@ -24,7 +24,7 @@
     stop(): Promise<void>;
 }
 
-/** Starts the stand-ins; the VM list holds the engines and services. */
+/** Starts the fakes and lists the engines and services in the fake VM list. */
 export async function startFakes(settings: FakesSettings): Promise<RunningFakes> {
     const { host } = settings;
     const log = new FakeLog({ host, port: settings.logPort });
--- a/packages/fakes/src/store.ts
+++ b/packages/fakes/src/store.ts
@@ -1,21 +1,21 @@
-import type { FakeOptions } from "./listener.js";
-import { type FakeAnswer, type FakeRequest, FakeServer } from "./server.js";
+import type { FakeListenerOptions } from "./listener.js";
+import { type FakeRequest, type FakeResponse, FakeServer } from "./server.js";
 
 /** Options of {@link FakeWeightStore}. */
-export interface FakeWeightStoreOptions extends FakeOptions {
-    /** Loads a second at full speed, one at a time. @default 20 */
+export interface FakeWeightStoreOptions extends FakeListenerOptions {
+    /** Loads per second, one after the other. @default 20 */
     readonly loadsPerSecond?: number;
 }
 
 const defaultLoadsPerSecond = 20;
 
 /**
- * Stand-in for the weight store: one load at a time runs at full speed, and loads at the same time share that speed.
+ * Fake weight store. Concurrent loads share its speed equally.
  * Operation: `fetch`.
  */
 export class FakeWeightStore extends FakeServer {
     private readonly loadMs: number;
-    private readonly active = new Set<{ remainingMs: number; done: () => void; }>();
+    private readonly activeLoads = new Set<{ remainingMs: number; done: () => void; }>();
     private lastAt = 0;
     private timer: NodeJS.Timeout | undefined;
 
@@ -28,10 +28,10 @@
         return "fetch";
     }
 
-    protected async run(request: FakeRequest): Promise<FakeAnswer> {
+    protected async run(request: FakeRequest): Promise<FakeResponse> {
         await new Promise<void>(resolve => {
             this.advance();
-            this.active.add({ remainingMs: this.loadMs, done: resolve });
+            this.activeLoads.add({ remainingMs: this.loadMs, done: resolve });
             this.schedule();
         });
         return { status: 200, body: { weights: request.path } };
@@ -39,12 +39,12 @@
 
     private advance(): void {
         const now = performance.now();
-        const each = this.active.size === 0 ? 0 : (now - this.lastAt) / this.active.size;
+        const elapsedPerLoadMs = this.activeLoads.size === 0 ? 0 : (now - this.lastAt) / this.activeLoads.size;
         this.lastAt = now;
-        for (const load of this.active) {
-            load.remainingMs -= each;
+        for (const load of this.activeLoads) {
+            load.remainingMs -= elapsedPerLoadMs;
             if (load.remainingMs <= 0.01) {
-                this.active.delete(load);
+                this.activeLoads.delete(load);
                 load.done();
             }
         }
@@ -52,13 +52,13 @@
 
     private schedule(): void {
         clearTimeout(this.timer);
-        const shortest = Math.min(...[...this.active].map(load => load.remainingMs));
-        if (!Number.isFinite(shortest)) {
+        const shortestRemainingMs = Math.min(...[...this.activeLoads].map(load => load.remainingMs));
+        if (!Number.isFinite(shortestRemainingMs)) {
             return;
         }
         this.timer = setTimeout(() => {
             this.advance();
             this.schedule();
-        }, shortest * this.active.size);
+        }, shortestRemainingMs * this.activeLoads.size);
     }
 }
--- a/packages/fakes/src/vms.ts
+++ b/packages/fakes/src/vms.ts
@@ -1,7 +1,7 @@
-import type { FakeOptions } from "./listener.js";
-import { type FakeAnswer, type FakeRequest, FakeServer } from "./server.js";
+import type { FakeListenerOptions } from "./listener.js";
+import { type FakeRequest, type FakeResponse, FakeServer } from "./server.js";
 
-/** One VM as the fake lists it. */
+/** VM in the fake list. */
 export interface FakeVm {
     readonly id: string;
     readonly role: "entry" | "engine" | "service";
@@ -11,11 +11,11 @@
     readonly service?: string;
 }
 
-/** Stand-in for the platform's list of VMs. Operation: `list`. `PUT /vms` replaces the list. */
+/** Fake of the platform's VM list. Operation: `list`. `PUT /vms` replaces the list. */
 export class FakeVmList extends FakeServer {
     private vms: readonly FakeVm[] = [];
 
-    constructor(options: FakeOptions = {}) {
+    constructor(options: FakeListenerOptions = {}) {
         super(options);
     }
 
@@ -27,7 +27,7 @@
         return request.method === "PUT" ? "set" : "list";
     }
 
-    protected async run(request: FakeRequest): Promise<FakeAnswer> {
+    protected async run(request: FakeRequest): Promise<FakeResponse> {
         if (request.method === "PUT") {
             this.vms = JSON.parse(request.body) as FakeVm[];
         }
--- a/packages/fakes/test/platform.test.ts
+++ b/packages/fakes/test/platform.test.ts
@@ -14,7 +14,7 @@
     }
 }
 
-test("records get rising offsets and are read back in order", () =>
+test("appended records get increasing offsets and are read in order", () =>
     runWithLog(async (_log, client) => {
         for (const [offset, data] of ["a", "b", "c"].entries()) {
             assert.is((await client.append("s", data))._unsafeUnwrap(), offset);
@@ -23,15 +23,15 @@
         assert.equal(page, { earliest: 0, end: 3, records: [{ offset: 1, data: "b" }, { offset: 2, data: "c" }] });
     }));
 
-test("a read waits for the next record, and no longer than it is told", () =>
+test("a read at the end of the log waits for the next record, at most for the given time", () =>
     runWithLog(async (_log, client) => {
-        const waiting = client.read("s", 0, 5000);
+        const pendingRead = client.read("s", 0, 5000);
         await client.append("s", "late");
-        assert.equal((await waiting)._unsafeUnwrap().records, [{ offset: 0, data: "late" }]);
+        assert.equal((await pendingRead)._unsafeUnwrap().records, [{ offset: 0, data: "late" }]);
         assert.equal((await client.read("s", 1, 20))._unsafeUnwrap().records, []);
     }));
 
-test("records beyond their retention are gone, and the reader is told where the log begins", () =>
+test("a read of trimmed records returns the remaining records and the earliest offset", () =>
     runWithLog(async (log, client) => {
         for (const data of ["a", "b", "c"]) {
             await client.append("s", data);
@@ -44,7 +44,7 @@
         });
     }));
 
-/** Faults of an append, whether it took effect, and what the client says of it. */
+/** Faults of an append, the number of records stored, and the effect that the client reports. */
 const appendFaults: readonly { fault: FaultRuleOptions; records: number; effect: "notDone" | "unknown"; }[] = [
     { fault: { operation: "append", action: "refuse" }, records: 0, effect: "notDone" },
     { fault: { operation: "append", action: "dropBefore" }, records: 0, effect: "unknown" },
@@ -56,7 +56,7 @@
 ];
 
 for (const { fault, records, effect } of appendFaults) {
-    test(`an append that meets "${fault.action}" is told as ${effect}, and the next one works`, () =>
+    test(`an append with fault "${fault.action}" is reported as ${effect}, and the next append succeeds`, () =>
         runWithLog(async (log, client) => {
             log.faults.setRules([fault]);
             assert.is((await client.append("s", "a"))._unsafeUnwrapErr().effect, effect);
@@ -65,14 +65,14 @@
         }));
 }
 
-test("a log that cannot be reached has taken nothing", async () => {
+test("an append to an unreachable log is reported as notDone", async () => {
     const log = new FakeLog();
     const client = new HttpLogClient({ address: await log.start() });
     await log.stop();
     assert.is((await client.append("s", "a"))._unsafeUnwrapErr().effect, "notDone");
 });
 
-test("the list of VMs is read whole, or its failure is told", async () => {
+test("the client returns the complete VM list, or an error if the list does not respond", async () => {
     const list = new FakeVmList();
     const client = new HttpVmListClient({ address: await list.start(), timeoutMs: 200 });
     const vm = {
@@ -90,17 +90,17 @@
     await list.stop();
 });
 
-test("two loads at the same time share the weight store's speed", async () => {
+test("two concurrent loads from the weight store both complete", async () => {
     const store = new FakeWeightStore({ loadsPerSecond: 20 });
     const address = await store.start();
-    const order: string[] = [];
+    const finishedLoads: string[] = [];
     const fetchWeights = async (name: string): Promise<void> => {
         await (await fetch(`http://${address}/weights/${name}`)).text();
-        order.push(name);
+        finishedLoads.push(name);
     };
     const first = fetchWeights("first");
     await Promise.all([first, fetchWeights("second")]);
-    assert.is(order.length, 2);
+    assert.is(finishedLoads.length, 2);
     await store.stop();
 });
 
--- a/packages/fakes/test/upstreams.test.ts
+++ b/packages/fakes/test/upstreams.test.ts
@@ -4,7 +4,7 @@
 import * as assert from "uvu/assert";
 import { FakeEngine, type FakeEngineOptions, FakeService, type FaultRuleOptions } from "../src/index.js";
 
-const permit = (): boolean => true;
+const allowOrder = (): boolean => true;
 
 async function runWithEngine(
     options: Partial<FakeEngineOptions>,
@@ -24,10 +24,10 @@
     return result.isOk() ? "done" : result.error.kind;
 }
 
-test("an engine tells its slots, its room, its adapters and the highest token", () =>
+test("the status of an engine has its adapter slots, batch room, adapters and highest fencing token", () =>
     runWithEngine({ slots: 2, batchRoom: 5 }, async (_engine, client, address) => {
-        assert.is(readKind(await client.claimEngine(address, 7, permit)), "done");
-        assert.is(readKind(await client.loadModel(address, "a@1", 7, permit)), "done");
+        assert.is(readKind(await client.claimEngine(address, 7, allowOrder)), "done");
+        assert.is(readKind(await client.loadModel(address, "a@1", 7, allowOrder)), "done");
         const status = (await client.readEngineStatus(address))._unsafeUnwrap();
         assert.equal([status.fence, status.slots, status.batchRoom, status.adapters], [7, 2, 5, [{
             model: "a@1",
@@ -35,54 +35,54 @@
         }]]);
     }));
 
-/** Orders with an old token, at both kinds of engines. */
+/** Orders with an old fencing token, at an engine that ignores the token and at one that checks it. */
 for (const ignoresFence of [false, true]) {
-    test(`an engine that ${ignoresFence ? "ignores" : "checks"} tokens ${ignoresFence ? "takes" : "refuses"} orders with an old one`, () =>
+    test(`an engine that ${ignoresFence ? "ignores" : "checks"} fencing tokens ${ignoresFence ? "accepts" : "rejects"} orders with an old token`, () =>
         runWithEngine({ ignoresFence }, async (engine, client, address) => {
-            await client.claimEngine(address, 9, permit);
+            await client.claimEngine(address, 9, allowOrder);
             const expected = ignoresFence ? "done" : "staleFence";
-            assert.is(readKind(await client.loadModel(address, "a@1", 8, permit)), expected);
-            assert.is(readKind(await client.evictModel(address, "a@1", 8, permit)), expected);
-            assert.is(readKind(await client.setRole(address, "prefill", 8, permit)), expected);
-            assert.is(readKind(await client.claimEngine(address, 8, permit)), expected);
-            assert.equal(engine.listLoaded(), []);
+            assert.is(readKind(await client.loadModel(address, "a@1", 8, allowOrder)), expected);
+            assert.is(readKind(await client.evictModel(address, "a@1", 8, allowOrder)), expected);
+            assert.is(readKind(await client.setRole(address, "prefill", 8, allowOrder)), expected);
+            assert.is(readKind(await client.claimEngine(address, 8, allowOrder)), expected);
+            assert.equal(engine.listLoadedAdapters(), []);
             assert.is((await client.readEngineStatus(address))._unsafeUnwrap().fence, 9);
         }));
 }
 
-test("an order whose sender may not give it any more is not written", () =>
+test("an order that its sender may no longer give is not sent", () =>
     runWithEngine({}, async (engine, client, address) => {
         assert.is(readKind(await client.loadModel(address, "a@1", 1, () => false)), "failed");
-        assert.equal(engine.listLoaded(), []);
+        assert.equal(engine.listLoadedAdapters(), []);
     }));
 
-test("a full engine refuses another adapter", () =>
+test("an engine without a free adapter slot rejects a load", () =>
     runWithEngine({ slots: 1 }, async (_engine, client, address) => {
-        assert.is(readKind(await client.loadModel(address, "a@1", 1, permit)), "done");
-        assert.is(readKind(await client.loadModel(address, "b@1", 1, permit)), "failed");
+        assert.is(readKind(await client.loadModel(address, "a@1", 1, allowOrder)), "done");
+        assert.is(readKind(await client.loadModel(address, "b@1", 1, allowOrder)), "failed");
     }));
 
-/** Faults of an eviction, whether it took effect, and what the client says of it. */
-const evictFaults: readonly { fault: FaultRuleOptions; isEvicted: boolean; kind: string; }[] = [
+/** Faults of an eviction, whether the adapter was evicted, and the outcome that the client reports. */
+const evictionFaults: readonly { fault: FaultRuleOptions; isEvicted: boolean; kind: string; }[] = [
     { fault: { operation: "unload", action: "refuse" }, isEvicted: false, kind: "failed" },
     { fault: { operation: "unload", action: "dropBefore" }, isEvicted: false, kind: "unknown" },
     { fault: { operation: "unload", action: "loseAnswer" }, isEvicted: true, kind: "unknown" },
     { fault: { operation: "unload", action: "silent" }, isEvicted: true, kind: "unknown" },
 ];
 
-for (const { fault, isEvicted, kind } of evictFaults) {
-    test(`an eviction that meets "${fault.action}" is told as ${kind}`, () =>
+for (const { fault, isEvicted, kind } of evictionFaults) {
+    test(`an eviction with fault "${fault.action}" is reported as ${kind}`, () =>
         runWithEngine({}, async (engine, client, address) => {
-            await client.loadModel(address, "a@1", 1, permit);
+            await client.loadModel(address, "a@1", 1, allowOrder);
             engine.faults.setRules([fault]);
-            assert.is(readKind(await client.evictModel(address, "a@1", 1, permit)), kind);
-            assert.is(engine.listLoaded().length, isEvicted ? 0 : 1);
+            assert.is(readKind(await client.evictModel(address, "a@1", 1, allowOrder)), kind);
+            assert.is(engine.listLoadedAdapters().length, isEvicted ? 0 : 1);
         }));
 }
 
-test("an engine that starts cold has another instance and nothing loaded", () =>
+test("an engine that restarts has a new instance, no adapters and no fencing token", () =>
     runWithEngine({}, async (engine, client, address) => {
-        await client.loadModel(address, "a@1", 5, permit);
+        await client.loadModel(address, "a@1", 5, allowOrder);
         const before = (await client.readEngineStatus(address))._unsafeUnwrap();
         engine.restart();
         const after = (await client.readEngineStatus(address))._unsafeUnwrap();
@@ -90,7 +90,7 @@
         assert.equal([after.adapters, after.fence], [[], 0]);
     }));
 
-test("a service tells when it leaves", async () => {
+test("the status of a service reports that the service is leaving", async () => {
     const service = new FakeService({ id: "labels" });
     const address = await service.start();
     const client = new HttpOrderClient();
