--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import tseslint from "typescript-eslint";
 
-/** Verbs that functions begin with: the first column of the table in docs/reference/verbs.md. */
+/** Allowed first words of function names: the first column of the table in docs/reference/verbs.md. */
 const verbs = readFileSync(new URL("docs/reference/verbs.md", import.meta.url), "utf8")
     .split("\n")
     .filter(line => /^\| [a-z]/.test(line))
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,9 +1,10 @@
 /**
- * Builds what the platform starts: one file with the program and the parts of its libraries that it uses, the code that
- * V8 has compiled for it, and a small file that starts the two. All VMs start at once, and again after a loss of power: 195
- * processes that took 0.38 s each to compile and load what they do not use took 75 s of a machine's processors.
+ * Builds the files that the platform starts: a bundle of the program and the used parts of its libraries, V8's code
+ * cache for the bundle, and a small launcher. A short start matters because all VMs start at the same time, also after
+ * a power failure: without the bundle, 195 processes on one machine each need 0.38 s to compile and load unused code,
+ * 75 s of processor time in total.
  *
- * Run by the same flags as the program: V8 takes no compiled code that was made under others.
+ * Run the script with the same flags as the program: V8 rejects a code cache that was created with other flags.
  */
 import { build } from "esbuild";
 import { readFileSync, writeFileSync } from "node:fs";
@@ -27,8 +28,8 @@
 };
 
 /**
- * Workspace packages are bundled from their sources, and libraries without the parts that are not used, those of Node.js that
- * only they load included.
+ * Replacements for the bundle: workspace packages resolve to their sources. Libraries, and the Node.js modules that
+ * only they load, resolve to versions without the unused parts.
  */
 const alias = {
     ...Object.fromEntries(
@@ -41,14 +42,14 @@
     "node:http2": "./platform/bundle/http2.cjs",
 };
 
-// One function, so that it can be compiled without being run.
+// The bundle is wrapped in a function expression, so that V8 can compile it without running the program.
 const banner = { js: "(function (require, module, exports) {" };
 const footer = { js: "})" };
 
 await build({ ...common, alias, banner, footer, entryPoints: ["platform/src/main.ts"], outfile: bundle });
 await build({ ...common, entryPoints: ["platform/src/launch.ts"], outfile: path.join(output, "radishreel-node.cjs") });
 
-// Loading the bundle compiles what is run at each start; the program itself is started by the launcher.
+// Running the bundle compiles the code of each start into the code cache; the launcher starts the program itself.
 const script = new Script(readFileSync(bundle, "utf8"), { filename: bundle });
 const module = { exports: {} };
 script.runInThisContext()(createRequire(bundle), module, module.exports);
--- a/scripts/mutations.mjs
+++ b/scripts/mutations.mjs
@@ -1,6 +1,6 @@
 /**
- * Changes one line of the built code at a time and checks that the named test fails: no proof rests on a check that
- * cannot fail. Run after a build; every file is put back as it was.
+ * Mutation test: changes the built code in one place at a time and checks that the named test file fails, which shows
+ * that the test can detect the fault. Run it after a build. Each changed file is restored after its test.
  */
 import { spawnSync } from "node:child_process";
 import { readFileSync, writeFileSync } from "node:fs";
@@ -8,7 +8,7 @@
 
 const root = path.join(import.meta.dirname, "..");
 
-/** File below packages/, text, replacement, test file. */
+/** Mutations: file below packages/, original text, replacement, test file. */
 const mutations = [
     [
         "placement/dist/src/owner.js",
@@ -513,8 +513,10 @@
     ],
 ];
 
-/** Longest run of one test file, in milliseconds: the quick ones of a package, and those across processes. */
+/** Timeout of a test file of a package, in milliseconds. */
 const packageLimitMs = 30_000;
+
+/** Timeout of a test file that starts several processes, in milliseconds. */
 const processLimitMs = 240_000;
 
 const only = process.argv[2] ?? "";
@@ -540,7 +542,8 @@
             encoding: "utf8",
         });
         const isCaught = run.status !== 0 && (run.status !== null || test.startsWith("packages/"));
-        // A test that waits for what never comes hangs: in the quick tests that is a catch, across processes it is not told apart.
+        // A mutation can make a test wait forever. A timeout counts as a failure in the tests of a package, but not in the
+        // tests across processes, where it may have another cause.
         const how = run.status === null ? "hung" : /FAIL.*/.exec(run.stdout)?.[0] ?? "failed";
         console.log(`${isCaught ? "caught" : "NOT CAUGHT"}: ${name}: ${from}\n    ${run.status === 0 ? "" : how}`);
         caught += isCaught ? 1 : 0;
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,6 +1,6 @@
 /**
- * Runs every package's tests and the tests across processes with uvu, and closes with the sum of uvu's own counts.
- * A failing test is passed over only if KNOWN-RED.txt names it; such tests are printed.
+ * Runs the tests of all packages and the tests across processes with uvu, and prints the sums of uvu's counts.
+ * The script ignores the failure of a test only if KNOWN-RED.txt lists the test, and prints that list.
  */
 import { spawn } from "node:child_process";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
@@ -8,12 +8,12 @@
 
 const root = path.join(import.meta.dirname, "..");
 const uvu = path.join(root, "node_modules/uvu/bin.js");
-const maxKnownRed = 3;
+const maxKnownFailures = 3;
 
-/** Test files that run at the same time. */
+/** Number of test files that run at the same time. */
 const concurrency = 4;
 
-/** A file whose tests hang counts as failed after this long, in milliseconds. */
+/** Timeout of one test file, in milliseconds. A file that times out counts as failed. */
 const fileTimeoutMs = 300_000;
 
 const only = process.argv.slice(2);
@@ -26,7 +26,7 @@
     .filter(file => file.endsWith(".test.js"))
     .filter(file => only.length === 0 || only.some(name => file.includes(name)));
 
-/** Runs one file with uvu, and returns its exit code and all that it printed. */
+/** Runs one file with uvu, and returns its exit code and its output. */
 function runFile(file) {
     return new Promise(resolve => {
         const pattern = `${path.basename(file).replaceAll(".", "\\.")}$`;
@@ -42,46 +42,46 @@
     });
 }
 
-/** Runs every file, a few at a time, and returns the runs in the order of the files. */
+/** Runs all files, up to {@link concurrency} at a time, and returns the results in the order of the files. */
 async function runFiles() {
     const runs = [];
     let next = 0;
-    const work = async () => {
+    const runNextFiles = async () => {
         for (let index = next++; index < files.length; index = next++) {
             runs[index] = await runFile(files[index]);
         }
     };
-    await Promise.all(Array.from({ length: concurrency }, work));
+    await Promise.all(Array.from({ length: concurrency }, runNextFiles));
     return runs;
 }
 
-const knownFile = path.join(root, "KNOWN-RED.txt");
-const known = existsSync(knownFile)
-    ? readFileSync(knownFile, "utf8").split("\n").filter(line => line.trim() !== "" && !line.startsWith("#"))
+const knownFailuresFile = path.join(root, "KNOWN-RED.txt");
+const knownFailures = existsSync(knownFailuresFile)
+    ? readFileSync(knownFailuresFile, "utf8").split("\n").filter(line => line.trim() !== "" && !line.startsWith("#"))
     : [];
-if (known.length > maxKnownRed) {
-    console.error(`KNOWN-RED.txt lists ${known.length} tests; ${maxKnownRed} at most`);
+if (knownFailures.length > maxKnownFailures) {
+    console.error(`KNOWN-RED.txt lists ${knownFailures.length} tests; at most ${maxKnownFailures} are allowed`);
     process.exit(1);
 }
 
 let passed = 0;
 let failed = 0;
-let excused = 0;
+let ignored = 0;
 for (const { file, code, text } of await runFiles()) {
     console.log(`\n${file}`);
     process.stdout.write(text);
     const total = Number(/Total:\s+(\d+)/.exec(text)?.[1] ?? 0);
-    const good = Number(/Passed:\s+(\d+)/.exec(text)?.[1] ?? 0);
+    const passedInFile = Number(/Passed:\s+(\d+)/.exec(text)?.[1] ?? 0);
     const names = [...text.matchAll(/FAIL\s+(?:.*?)"(.+)"/g)].map(match => match[1]);
-    const red = names.filter(name => known.some(line => line.startsWith(name)));
-    passed += good;
-    excused += red.length;
-    // A run that ends badly without a count, by a crash while loading for example, has failed too.
-    failed += code === 0 ? total - good : Math.max(total - good, 1) - red.length;
+    const ignoredNames = names.filter(name => knownFailures.some(line => line.startsWith(name)));
+    passed += passedInFile;
+    ignored += ignoredNames.length;
+    // A file that fails without a count, for example by a crash while it loads, counts as one failed test.
+    failed += code === 0 ? total - passedInFile : Math.max(total - passedInFile, 1) - ignoredNames.length;
 }
 
-if (known.length > 0) {
-    console.log(`\nKnown failures (KNOWN-RED.txt), ${excused} of them seen:\n${known.join("\n")}`);
+if (knownFailures.length > 0) {
+    console.log(`\nKnown failures (KNOWN-RED.txt), ${ignored} of them seen:\n${knownFailures.join("\n")}`);
 }
 console.log(`\n${passed} passed, ${failed} failed`);
 process.exit(failed === 0 && passed > 0 ? 0 : 1);
