--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -38,7 +38,7 @@
             return runs.filter(run => !run.ended).length === models.length;
         });
         // The system may merge two signals sent at the same moment, so the second one is sent after the gateway has
-        // handled the first.
+        // handled the first one.
         leaving!.process.signal("SIGTERM");
         await waitFor("the gateway to drain", () => leaving!.process.lines.some(line => line.includes("draining")));
         leaving!.process.signal("SIGTERM");
@@ -48,7 +48,7 @@
         checkCompleteResponse(await sendCompletion(staying!.callers, models[0]!, { tokens: 1 }), models[0]!);
     }));
 
-for (const failure of ["killed", "frozen and resumed", "stopped on plan"] as const) {
+for (const failure of ["killed", "frozen and resumed", "stopped gracefully"] as const) {
     test(`when the owner of the engines is ${failure}, streams continue, adapters stay reachable and none is evicted in use`, () =>
         runWithDeployment(async deployment => {
             await startDeployment(deployment, {
@@ -72,7 +72,7 @@
             if (failure === "killed") {
                 await failingAgent!.process.kill();
             }
-            else if (failure === "stopped on plan") {
+            else if (failure === "stopped gracefully") {
                 assert.is(await failingAgent!.process.stop(), 0);
             }
             else {
@@ -127,7 +127,7 @@
         }
     }));
 
-test("an engine that restarts without adapters serves the requested model again", () =>
+test("after an engine restarts without adapters, a request is still served by the requested model", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, {
             engines: [createEngine("engine-1", { slots: 4, servesBaseModel: false })],
@@ -158,9 +158,9 @@
 
 /** Sources from which the VMs learn first that an upstream is leaving. */
 for (const source of ["the engine's status", "the engine's response", "an operator"] as const) {
-    test(`a leaving engine gets no new requests from 3 s after the announcement by ${source}, also without the VM list`, () =>
+    test(`a leaving engine gets no new requests from 3 s after the announcement by ${source}, while the VM list is down`, () =>
         runWithDeployment(async deployment => {
-            // In the case of the response, the status is polled too rarely to announce it first.
+            // For the response to announce it first, the agents poll the status less often.
             await startDeployment(deployment, { agent: source === "the engine's response" ? { statusMs: 5000 } : {} });
             const [gateway] = deployment.gateways;
             await sendCompletion(gateway!.callers, "manifest@1");
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -157,7 +157,7 @@
     assert.is((await sendCompletion(gateway.callers, "declaration@1", { tokens: 1 })).status, 200);
 });
 
-test("the model list of an account has only the models that it may use", async () => {
+test("the model list of an account contains only the models that the account may use", async () => {
     const result = await sendRequest(gateway.callers, "/v1/models", { method: "GET", key: "trial-key" });
     const models = (JSON.parse(result.body) as { data: { id: string; }[]; }).data.map(model => model.id);
     assert.equal(models.sort(), ["declaration@1", "declaration@2"]);
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -47,7 +47,7 @@
         socket.destroy();
     }));
 
-test("a leaving service gets no new calls, also without the VM list", () =>
+test("a leaving service gets no new calls while the VM list is down", () =>
     runWithDeployment(async deployment => {
         await startDeployment(deployment, { services: ["labels-1", "labels-2"] });
         const [gateway] = deployment.gateways;
