--- a/packages/upstreams/src/call.ts
+++ b/packages/upstreams/src/call.ts
@@ -9,30 +9,31 @@
     type UpstreamConnections,
 } from "./exchange.js";
 
-/** Where the answer of a service's call goes. */
+/** Receives the response to a service call. */
 export interface CallReceiver {
     receiveHead(status: number, headers: IncomingHttpHeaders): void;
     receiveData(chunk: Buffer): void;
 }
 
-/** One call of a plain service. */
+/** A call of a plain service. */
 export interface CallOptions {
     readonly address: string;
     readonly method: string;
     readonly path: string;
     readonly headers: Record<string, string>;
     readonly body: Buffer | undefined;
+    /** Longest time without any byte from the service, in milliseconds. */
     readonly silenceMs: number;
     readonly receiver: CallReceiver;
 }
 
-/** How a call ended. */
+/** How a call ended. `isLeaving`: the service reported that it is leaving. */
 export interface CallEnd {
     readonly verdict: Exclude<Verdict, { kind: "refused"; }>;
     readonly isLeaving: boolean;
 }
 
-/** A call under way. */
+/** A call in progress. */
 export type Call = Attempt<CallEnd>;
 
 /** Calls plain services. */
@@ -40,7 +41,7 @@
     open(options: CallOptions): Call;
 }
 
-/** Calls plain services over HTTP. Whatever a service answers in full is its answer, whatever the status. */
+/** Calls plain services over HTTP. A response that arrives in full completes the call, whatever its status. */
 export class HttpServiceClient implements ServiceClient {
     constructor(private readonly connections: UpstreamConnections) {}
 
@@ -83,7 +84,7 @@
     private receiveHead(status: number, headers: IncomingHttpHeaders): void {
         this.isLeaving = headers["x-upstream-state"] === "leaving";
         this.isRefused = headers[notRunHeader] === "1";
-        // An answer without a body may declare the length that another method would have had.
+        // Responses to HEAD, 204 and 304 have no body, but may declare the content-length of a GET response.
         const hasBody = this.options.method !== "HEAD" && status !== 204 && status !== 304;
         this.missingBytes = hasBody ? Number(headers["content-length"] ?? 0) : 0;
         if (!this.isRefused) {
@@ -104,11 +105,17 @@
             return { verdict: createBreakVerdict(end.phase, end.reason, end.detail), isLeaving };
         }
         if (this.isRefused) {
-            return { verdict: createNotRun("upstreamRefused", "the service refused before acting"), isLeaving };
+            return {
+                verdict: createNotRun("upstreamRefused", "the service refused the call before acting on it"),
+                isLeaving,
+            };
         }
         if (this.missingBytes > 0) {
             return {
-                verdict: createMayHaveRun("truncatedAnswer", "the service's answer is shorter than it says"),
+                verdict: createMayHaveRun(
+                    "truncatedAnswer",
+                    "the service's response body is shorter than its content-length",
+                ),
                 isLeaving,
             };
         }
--- a/packages/upstreams/src/completion.ts
+++ b/packages/upstreams/src/completion.ts
@@ -17,57 +17,58 @@
 } from "./exchange.js";
 import { parseModel, StreamChecker } from "./stream.js";
 
-/** Header with which an upstream says that it refused a request before acting on it. */
+/** Response header with which an upstream reports that it refused the request before acting on it. */
 export const notRunHeader = "x-not-run";
 
-/** Where the answer of a completion goes. */
+/** Receives the response to a completion. */
 export interface CompletionReceiver {
-    /** The answer may begin: its model is proved. Called at most once, before any data. */
+    /** Called at most once, before any data, after the response has named the requested model. */
     receiveHead(status: number, contentType: string): void;
     receiveData(chunk: Buffer): void;
 }
 
-/** One completion to run on an engine. */
+/** A completion to run on an engine. */
 export interface CompletionOptions {
     readonly address: string;
     readonly path: "/v1/chat/completions" | "/v1/completions";
-    /** `adapter@version`; the answer must name the same. */
+    /** `adapter@version`; the response must name the same model. */
     readonly model: string;
     readonly isStream: boolean;
-    /** The caller's body, as it came. */
+    /** The caller's request body, unchanged. */
     readonly body: Buffer;
-    /** Names this attempt in the engine's records. */
+    /** Identifies this attempt in the engine's records; sent as `x-call-id`. */
     readonly callId: string;
-    /** Higher goes first. */
+    /** The engine runs requests of higher priority first. */
     readonly priority: number;
+    /** Longest time without any byte from the engine, in milliseconds. */
     readonly silenceMs: number;
     readonly receiver: CompletionReceiver;
-    /** Asked in the same step as the write: whether the lease still allows it. */
+    /** Whether the lease still allows the request; called in the same event-loop turn as the write. */
     readonly checkBeforeSend?: () => boolean;
-    /** Largest answer that is no stream, in bytes. @default 16777216 */
-    readonly maxAnswerBytes?: number;
+    /** Largest response that is not a stream, in bytes. @default 16777216 */
+    readonly maxResponseBytes?: number;
 }
 
-/** A completion under way. */
+/** A completion in progress. */
 export type Completion = Attempt<CompletionEnd>;
 
 /** How a completion ended. */
 export interface CompletionEnd {
     readonly verdict: Exclude<Verdict, { kind: "refused"; }>;
-    /** The engine itself said how it ended, so it runs the request no longer. */
+    /** The request no longer runs on the engine: the engine responded in full, or the request never reached it. */
     readonly isSure: boolean;
-    /** The engine said that it is leaving. */
+    /** The engine reported that it is leaving. */
     readonly isLeaving: boolean;
 }
 
-const defaultMaxAnswerBytes = 16 * 1024 * 1024;
+const defaultMaxResponseBytes = 16 * 1024 * 1024;
 
 /** Runs completions on engines. */
 export interface EngineClient {
     open(options: CompletionOptions): Completion;
 }
 
-/** Runs completions over HTTP. Wire form: docs/reference/engines.md. */
+/** Runs completions over HTTP. Wire format: docs/reference/engines.md. */
 export class HttpEngineClient implements EngineClient {
     constructor(private readonly connections: UpstreamConnections) {}
 
@@ -82,9 +83,9 @@
     private status = 0;
     private headers: IncomingHttpHeaders = {};
     private readonly checker: StreamChecker;
-    private buffered: Buffer[] = [];
-    private bufferedLength = 0;
-    private hasBegun = false;
+    private bufferedChunks: Buffer[] = [];
+    private bufferedBytes = 0;
+    private hasPassedHead = false;
     private rejection: { reason: Reason; detail: string; } | undefined;
 
     constructor(connections: UpstreamConnections, private readonly options: CompletionOptions) {
@@ -133,35 +134,35 @@
             return;
         }
         if (!this.isEventStream) {
-            this.recordChunk(chunk);
+            this.addChunk(chunk);
             return;
         }
         const step = this.checker.receive(chunk);
         if (step.kind === "reject") {
-            this.refuse(step.reason, step.detail);
+            this.refuseResponse(step.reason, step.detail);
         }
         if (step.kind === "pass") {
             this.pass(step.chunk, "text/event-stream");
         }
     }
 
-    private recordChunk(chunk: Buffer): void {
-        this.buffered.push(chunk);
-        this.bufferedLength += chunk.length;
-        if (this.bufferedLength > (this.options.maxAnswerBytes ?? defaultMaxAnswerBytes)) {
-            this.refuse("malformedAnswer", "the answer is too large");
+    private addChunk(chunk: Buffer): void {
+        this.bufferedChunks.push(chunk);
+        this.bufferedBytes += chunk.length;
+        if (this.bufferedBytes > (this.options.maxResponseBytes ?? defaultMaxResponseBytes)) {
+            this.refuseResponse("malformedAnswer", "the response is too large");
         }
     }
 
     private pass(chunk: Buffer, contentType: string): void {
-        if (!this.hasBegun) {
-            this.hasBegun = true;
+        if (!this.hasPassedHead) {
+            this.hasPassedHead = true;
             this.options.receiver.receiveHead(this.status, contentType);
         }
         this.options.receiver.receiveData(chunk);
     }
 
-    private refuse(reason: Reason, detail: string): void {
+    private refuseResponse(reason: Reason, detail: string): void {
         this.rejection = { reason, detail };
         this.exchange.cancel(reason);
     }
@@ -177,47 +178,54 @@
         }
         if (end.kind === "broken") {
             return {
-                verdict: this.createBroken(end.phase, end.reason, end.detail),
+                verdict: this.createBrokenVerdict(end.phase, end.reason, end.detail),
                 isSure: end.phase === "connecting",
                 isLeaving,
             };
         }
-        return { verdict: this.createAnswered(), isSure: true, isLeaving };
+        return { verdict: this.createResponseVerdict(), isSure: true, isLeaving };
     }
 
-    private createBroken(phase: ExchangePhase, reason: Reason, detail: string): NotRunVerdict | MayHaveRunVerdict {
+    private createBrokenVerdict(
+        phase: ExchangePhase,
+        reason: Reason,
+        detail: string,
+    ): NotRunVerdict | MayHaveRunVerdict {
         return createBreakVerdict(phase, reason, detail);
     }
 
-    /** Judges an answer that HTTP says is whole. */
-    private createAnswered(): CompletionEnd["verdict"] {
+    /** The verdict on a response that is complete by HTTP framing. */
+    private createResponseVerdict(): CompletionEnd["verdict"] {
         if (this.headers[notRunHeader] === "1" || this.status === 404) {
-            return createNotRun("upstreamRefused", `the engine refused with status ${this.status}`);
+            return createNotRun("upstreamRefused", `the engine refused the request with status ${this.status}`);
         }
         if (this.status >= 500 || this.status === 429) {
-            return createMayHaveRun("upstreamFailed", `the engine answered with status ${this.status}`);
+            return createMayHaveRun("upstreamFailed", `the engine responded with status ${this.status}`);
         }
         if (this.isEventStream) {
-            return this.checker.isWhole
+            return this.checker.isComplete
                 ? { kind: "complete" }
-                : createMayHaveRun("truncatedAnswer", "the engine's stream ended without its end mark");
+                : createMayHaveRun("truncatedAnswer", "the engine's stream ended without its end marker");
         }
-        return this.createBuffered();
+        return this.createBufferedVerdict();
     }
 
-    private createBuffered(): CompletionEnd["verdict"] {
-        const body = Buffer.concat(this.buffered);
+    private createBufferedVerdict(): CompletionEnd["verdict"] {
+        const body = Buffer.concat(this.bufferedChunks);
         const declared = this.headers["content-length"];
         if (declared !== undefined && Number(declared) !== body.length) {
-            return createMayHaveRun("truncatedAnswer", "the engine's answer is shorter than it says");
+            return createMayHaveRun("truncatedAnswer", "the engine's response body does not match its content-length");
         }
         if (this.status === 200) {
             const model = parseModel(body.toString("utf8"));
             if (model === undefined) {
-                return createMayHaveRun("malformedAnswer", "the engine's answer names no model");
+                return createMayHaveRun("malformedAnswer", "the engine's response names no model");
             }
             if (model !== this.options.model) {
-                return createMayHaveRun("wrongModel", `asked for ${this.options.model}, answered by ${model}`);
+                return createMayHaveRun(
+                    "wrongModel",
+                    `requested model ${this.options.model}, but the response names ${model}`,
+                );
             }
         }
         this.pass(body, "application/json");
--- a/packages/upstreams/src/exchange.ts
+++ b/packages/upstreams/src/exchange.ts
@@ -8,27 +8,27 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { Agent, type Dispatcher } from "undici";
 
-/** How far an exchange with an upstream has come. */
+/** Progress of an exchange with an upstream. */
 export type ExchangePhase =
     /** No byte of the request has been written. */
     | "connecting"
-    /** Bytes of the request may have been written; no head of an answer has come. */
+    /** Bytes of the request may have been written; no response head has been received. */
     | "waiting"
-    /** The answer's head has come, its end has not. */
+    /** The response head has been received, the end of the response has not. */
     | "answering";
 
-/** How an exchange ended: with a whole answer, or broken. */
+/** How an exchange ended: with a complete response, or broken off. */
 export type ExchangeEnd =
     | { readonly kind: "answered"; }
     | { readonly kind: "broken"; readonly phase: ExchangePhase; readonly reason: Reason; readonly detail: string; };
 
-/** Takes an answer as it arrives. */
-export interface AnswerReceiver {
+/** Receives a response as it arrives. */
+export interface ResponseReceiver {
     receiveHead(status: number, headers: IncomingHttpHeaders): void;
     receiveData(chunk: Buffer): void;
 }
 
-/** One request to an upstream. */
+/** A request to an upstream. */
 export interface ExchangeOptions {
     /** `host:port`. */
     readonly address: string;
@@ -38,39 +38,37 @@
     readonly body: Buffer | undefined;
     /** Longest time without any byte from the upstream, in milliseconds. */
     readonly silenceMs: number;
-    readonly receiver: AnswerReceiver;
+    readonly receiver: ResponseReceiver;
     /**
-     * Asked in the same step as the write, since a process may have been paused since it decided to send.
-     * If it says no, nothing is written and the exchange breaks while connecting.
+     * Whether the request may still be sent; called in the same event-loop turn as the write, because the process may
+     * have been paused after it decided to send. On false, nothing is written and the exchange breaks while connecting.
      */
     readonly checkBeforeSend?: () => boolean;
 }
 
-/** A request under way, which ends in an `End`. */
+/** A request in progress, which ends in an `End`. */
 export interface Attempt<End> {
     /** Settles once, and never rejects. */
     readonly end: Promise<End>;
     /** Stops reading from the upstream until `resume`. */
     pause(): void;
     resume(): void;
-    /** Breaks it off; the upstream sees its connection close. */
+    /** Aborts the request by closing its connection to the upstream. */
     cancel(reason: Reason): void;
 }
 
-/** An attempt at the level of HTTP. */
+/** A single HTTP request to an upstream, before its response is interpreted. */
 export type Exchange = Attempt<ExchangeEnd>;
 
 /** Options of {@link UpstreamConnections}. */
 export interface UpstreamConnectionsOptions {
     /** Longest wait for a connection, in milliseconds. @default 1000 */
     readonly connectTimeoutMs?: number;
-    /** An idle connection is closed after this long: shorter than upstreams keep theirs. @default 4000 */
+    /** Idle time before a connection is closed, in milliseconds; shorter than that of the upstreams. @default 4000 */
     readonly keepAliveMs?: number;
 }
 
-/**
- * What a break says about whether the request ran: nothing was written while connecting, and all is open after that.
- */
+/** Verdict on a broken exchange: a request that broke while connecting was not written, any later one may have run. */
 export function createBreakVerdict(
     phase: ExchangePhase,
     reason: Reason,
@@ -89,7 +87,7 @@
             keepAliveTimeout: options.keepAliveMs ?? 4000,
             keepAliveMaxTimeout: options.keepAliveMs ?? 4000,
             pipelining: 1,
-            // Silence is judged by the exchange itself, which also counts time while paused as no silence.
+            // Each exchange has its own silence timer, which does not run while the exchange is paused.
             headersTimeout: 0,
             bodyTimeout: 0,
         });
@@ -100,7 +98,7 @@
         return new UndiciExchange(this.agent, options);
     }
 
-    /** Closes every connection once its request has ended. */
+    /** Closes every connection after its request has ended. */
     async close(): Promise<void> {
         await this.agent.close();
     }
@@ -112,7 +110,7 @@
     private phase: ExchangePhase = "connecting";
     private controller: Dispatcher.DispatchController | undefined;
     private cancelReason: Reason | undefined;
-    private timer: NodeJS.Timeout | undefined;
+    private silenceTimer: NodeJS.Timeout | undefined;
 
     constructor(agent: Agent, private readonly options: ExchangeOptions) {
         this.end = new Promise(resolve => {
@@ -126,24 +124,24 @@
     }
 
     pause(): void {
-        clearTimeout(this.timer);
+        clearTimeout(this.silenceTimer);
         this.controller?.pause();
     }
 
     resume(): void {
-        this.startTimer();
+        this.startSilenceTimer();
         this.controller?.resume();
     }
 
     cancel(reason: Reason): void {
         this.cancelReason ??= reason;
         if (this.controller === undefined) {
-            // Nothing is written yet, and `onRequestStart` sees to it that nothing will be.
+            // Nothing has been written yet; `onRequestStart` aborts the request before it is written.
             this.finishExchange({
                 kind: "broken",
                 phase: "connecting",
                 reason,
-                detail: "cancelled before it was sent",
+                detail: "the request was cancelled before it was sent",
             });
             return;
         }
@@ -153,17 +151,17 @@
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.controller = controller;
         if (this.cancelReason !== undefined) {
-            // Cancelled while connecting: nothing has been written, and nothing will be.
+            // Cancelled while connecting: undici writes nothing after the abort.
             controller.abort(new Error(this.cancelReason));
             return;
         }
         if (this.options.checkBeforeSend?.() === false) {
             this.cancelReason = "leaseLapsed";
-            controller.abort(new Error("what allowed the request has lapsed"));
+            controller.abort(new Error("the permission to send the request has expired"));
             return;
         }
         this.phase = "waiting";
-        this.startTimer();
+        this.startSilenceTimer();
     }
 
     onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: IncomingHttpHeaders): void {
@@ -171,28 +169,28 @@
             return;
         }
         this.phase = "answering";
-        this.timer?.refresh();
+        this.silenceTimer?.refresh();
         this.options.receiver.receiveHead(status, headers);
     }
 
     onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
-        this.timer?.refresh();
+        this.silenceTimer?.refresh();
         this.options.receiver.receiveData(chunk);
     }
 
     onResponseEnd(): void {
-        clearTimeout(this.timer);
+        clearTimeout(this.silenceTimer);
         this.finishExchange({ kind: "answered" });
     }
 
     onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-        clearTimeout(this.timer);
+        clearTimeout(this.silenceTimer);
         const reason = this.cancelReason ?? (this.phase === "connecting" ? "connectFailed" : "connectionLost");
         this.finishExchange({ kind: "broken", phase: this.phase, reason, detail: error.message });
     }
 
-    private startTimer(): void {
-        clearTimeout(this.timer);
-        this.timer = setTimeout(() => this.cancel("upstreamSilent"), this.options.silenceMs);
+    private startSilenceTimer(): void {
+        clearTimeout(this.silenceTimer);
+        this.silenceTimer = setTimeout(() => this.cancel("upstreamSilent"), this.options.silenceMs);
     }
 }
--- a/packages/upstreams/src/index.ts
+++ b/packages/upstreams/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of engines and plain services, and the verdict of each exchange. */
+/** HTTP clients for engines and plain services; each exchange ends in a verdict on whether the request ran. */
 export {
     type Call,
     type CallEnd,
--- a/packages/upstreams/src/orders.ts
+++ b/packages/upstreams/src/orders.ts
@@ -2,15 +2,15 @@
 import { z } from "zod";
 import { type ExchangeOptions, UpstreamConnections } from "./exchange.js";
 
-/** What an engine says of itself. */
+/** Status that an engine reports. */
 export const engineStatusSchema = z.object({
     instance: z.string(),
     state: z.enum(["live", "leaving"]),
-    /** Highest fencing token it has seen. */
+    /** Highest fencing token that the engine has seen. */
     fence: z.number().int().nonnegative(),
     slots: z.number().int().positive(),
     batchRoom: z.number().int().positive(),
-    /** Loaded adapters, with running counts that may be late. */
+    /** Loaded adapters and their running requests; the counts may lag. */
     adapters: z.array(z.object({ model: z.string(), running: z.number().int().nonnegative() })),
 });
 
@@ -24,15 +24,19 @@
 
 /** Why an order was not carried out. */
 export interface OrderError {
-    /** `staleFence`: another owner gave a higher token. `failed`: the engine refused. `unknown`: it may have acted. */
+    /**
+     * `staleFence`: the engine has seen a higher fencing token of another owner.
+     * `failed`: the order was not sent, or the engine refused it.
+     * `unknown`: the engine may have carried out the order.
+     */
     readonly kind: "staleFence" | "failed" | "unknown";
     readonly message: string;
 }
 
-/** Asked in the same step as the write of an order: whether its sender may still give it. */
+/** Whether the sender may still give the order; called in the same event-loop turn as the write. */
 export type OrderGuard = () => boolean;
 
-/** Orders to engines, and what upstreams say of themselves. */
+/** Gives orders to engines and reads the status of upstreams. */
 export interface OrderClient {
     readEngineStatus(address: string): Promise<Result<EngineStatus, OrderError>>;
     readServiceStatus(address: string): Promise<Result<ServiceStatus, OrderError>>;
@@ -40,22 +44,22 @@
     /** Settles when the adapter is loaded. */
     loadModel(address: string, model: string, fence: number, guard: OrderGuard): Promise<Result<void, OrderError>>;
     evictModel(address: string, model: string, fence: number, guard: OrderGuard): Promise<Result<void, OrderError>>;
-    /** Changes what the engine does in a disaggregated deployment. */
+    /** Changes the engine's role in a disaggregated deployment. */
     setRole(address: string, role: string, fence: number, guard: OrderGuard): Promise<Result<void, OrderError>>;
 }
 
 /** Options of {@link HttpOrderClient}. */
 export interface OrderClientOptions {
-    /** Longest silence before a status or a short order is given up, in milliseconds. @default 1000 */
+    /** Longest silence before a status request or an order other than a load fails, in milliseconds. @default 1000 */
     readonly timeoutMs?: number;
-    /** Longest wait for a load, in milliseconds. @default 60000 */
+    /** Longest silence before a load fails, in milliseconds. @default 60000 */
     readonly loadTimeoutMs?: number;
 }
 
 const defaultTimeoutMs = 1000;
 const defaultLoadTimeoutMs = 60_000;
 
-/** Orders over HTTP. Wire form: docs/reference/engines.md. */
+/** Gives orders over HTTP. Wire format: docs/reference/engines.md. */
 export class HttpOrderClient implements OrderClient {
     private readonly connections: UpstreamConnections;
     private readonly timeoutMs: number;
@@ -92,14 +96,14 @@
     }
 
     private async readStatus<Output>(address: string, schema: z.ZodType<Output>): Promise<Result<Output, OrderError>> {
-        const answer = await this.send({
+        const response = await this.send({
             address,
             method: "GET",
             path: "/status",
             body: undefined,
             silenceMs: this.timeoutMs,
         });
-        return answer.andThen(text => parseStatus(text, schema));
+        return response.andThen(text => parseStatus(text, schema));
     }
 
     private async sendOrder(
@@ -109,7 +113,7 @@
         guard: OrderGuard,
         silenceMs: number,
     ): Promise<Result<void, OrderError>> {
-        const answer = await this.send({
+        const response = await this.send({
             address,
             method: "POST",
             path: `/orders/${order}`,
@@ -117,7 +121,7 @@
             silenceMs,
             checkBeforeSend: guard,
         });
-        return answer.map(() => undefined);
+        return response.map(() => undefined);
     }
 
     private async send(options: Omit<ExchangeOptions, "headers" | "receiver">): Promise<Result<string, OrderError>> {
@@ -127,8 +131,8 @@
             ...options,
             headers: { "content-type": "application/json" },
             receiver: {
-                receiveHead: head => {
-                    status = head;
+                receiveHead: responseStatus => {
+                    status = responseStatus;
                 },
                 receiveData: chunk => chunks.push(chunk),
             },
@@ -137,11 +141,11 @@
             return err({ kind: end.phase === "connecting" ? "failed" : "unknown", message: end.detail });
         }
         if (status === 409) {
-            return err({ kind: "staleFence", message: "another owner gave a higher token" });
+            return err({ kind: "staleFence", message: "the engine has seen a higher fencing token" });
         }
         return status === 200
             ? ok(Buffer.concat(chunks).toString("utf8"))
-            : err({ kind: "failed", message: `status ${status}` });
+            : err({ kind: "failed", message: `the upstream responded with status ${status}` });
     }
 }
 
@@ -151,6 +155,6 @@
         return parsed.success ? ok(parsed.data) : err({ kind: "unknown", message: parsed.error.message });
     }
     catch {
-        return err({ kind: "unknown", message: "the status is not JSON" });
+        return err({ kind: "unknown", message: "the status response is not JSON" });
     }
 }
--- a/packages/upstreams/src/stream.ts
+++ b/packages/upstreams/src/stream.ts
@@ -1,33 +1,33 @@
 import { createParser, type EventSourceParser } from "eventsource-parser";
 import { z } from "zod";
 
-/** End mark of an OpenAI-compatible event stream, as it stands at the very end of a whole answer. */
+/** End marker of an OpenAI-compatible event stream; a complete response ends with it. */
 const endMark = /(?:^|\n)data: ?\[DONE\](?:\r?\n)*$/;
 
-/** Bytes of the end of a stream that are kept to find the end mark. */
+/** Bytes kept of the stream's end, to find the end marker in. */
 const tailBytes = 32;
 
-/** Most bytes held back until the first event names its model. */
+/** Largest number of bytes held back until the first event names its model. */
 export const maxHeldBytes = 256 * 1024;
 
 const eventSchema = z.object({ model: z.string() });
 
-/** What a stream's bytes may do next. */
+/** What to do with the bytes received so far. */
 export type StreamStep =
-    /** The first event is not whole yet: nothing may go to the caller. */
+    /** The first event is incomplete: no byte may be passed to the caller. */
     | { readonly kind: "held"; }
-    /** These bytes may go to the caller. */
+    /** These bytes may be passed to the caller. */
     | { readonly kind: "pass"; readonly chunk: Buffer; }
-    /** Another model answers, or the first event cannot be read. */
+    /** The first event names another model, or cannot be parsed. */
     | { readonly kind: "reject"; readonly reason: "wrongModel" | "malformedAnswer"; readonly detail: string; };
 
 /**
- * Watches an event stream as bytes. Only the first event is parsed, since it proves which model answers; what follows
- * passes untouched, and only the last bytes are remembered, to tell a whole answer from a truncated one.
+ * Checks an event stream without parsing all of it. The first event is parsed, because it names the model that
+ * responds; later bytes pass unchanged. The last bytes are kept, to tell a complete response from a truncated one.
  */
 export class StreamChecker {
-    private held: Buffer[] = [];
-    private heldLength = 0;
+    private heldChunks: Buffer[] = [];
+    private heldBytes = 0;
     private isVerified = false;
     private tail: Buffer = Buffer.alloc(0);
     private readonly decoder = new TextDecoder();
@@ -43,24 +43,24 @@
     }
 
     receive(chunk: Buffer): StreamStep {
-        this.recordTail(chunk);
+        this.updateTail(chunk);
         if (this.isVerified) {
             return { kind: "pass", chunk };
         }
-        this.held.push(chunk);
-        this.heldLength += chunk.length;
+        this.heldChunks.push(chunk);
+        this.heldBytes += chunk.length;
         this.parser.feed(this.decoder.decode(chunk, { stream: true }));
         if (this.firstEvent === undefined) {
-            const isTooLong = this.heldLength > maxHeldBytes;
+            const isTooLong = this.heldBytes > maxHeldBytes;
             return isTooLong
-                ? { kind: "reject", reason: "malformedAnswer", detail: "no event in the answer's start" }
+                ? { kind: "reject", reason: "malformedAnswer", detail: "the response starts without an event" }
                 : { kind: "held" };
         }
         return this.checkFirstEvent(this.firstEvent);
     }
 
-    /** Whether the bytes so far end as a whole answer does. */
-    get isWhole(): boolean {
+    /** Whether the bytes received so far end with the end marker. */
+    get isComplete(): boolean {
         return this.isVerified && endMark.test(this.tail.toString("latin1"));
     }
 
@@ -70,17 +70,21 @@
             return { kind: "reject", reason: "malformedAnswer", detail: "the first event names no model" };
         }
         if (model !== this.model) {
-            return { kind: "reject", reason: "wrongModel", detail: `asked for ${this.model}, answered by ${model}` };
+            return {
+                kind: "reject",
+                reason: "wrongModel",
+                detail: `requested model ${this.model}, but the first event names ${model}`,
+            };
         }
         this.isVerified = true;
-        const chunk = this.held.length === 1 ? this.held[0]! : Buffer.concat(this.held);
-        this.held = [];
+        const chunk = this.heldChunks.length === 1 ? this.heldChunks[0]! : Buffer.concat(this.heldChunks);
+        this.heldChunks = [];
         return { kind: "pass", chunk };
     }
 
-    private recordTail(chunk: Buffer): void {
+    private updateTail(chunk: Buffer): void {
         if (chunk.length >= tailBytes) {
-            // Copied, since a view would keep the whole chunk alive until the next one.
+            // Copied, because a view would keep the whole chunk in memory until the next one arrives.
             this.tail = Buffer.from(chunk.subarray(-tailBytes));
             return;
         }
@@ -88,7 +92,7 @@
     }
 }
 
-/** The model that an answer's JSON names; undefined if it is no such JSON. */
+/** The `model` member of a JSON text; undefined if the text is not JSON or has no such member. */
 export function parseModel(text: string): string | undefined {
     try {
         return eventSchema.safeParse(JSON.parse(text)).data?.model;
--- a/packages/upstreams/test/exchange.test.ts
+++ b/packages/upstreams/test/exchange.test.ts
@@ -5,17 +5,17 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { type CompletionEnd, HttpEngineClient, HttpServiceClient, UpstreamConnections } from "../src/index.js";
-import { type BreakPoint, ByteServer, createPlainAnswer, createStreamAnswer, type Plan } from "./server.js";
+import { type BreakPoint, ByteServer, createPlainResponse, createStreamResponse, type ResponsePlan } from "./server.js";
 
 const model = "declaration@2";
 const body = Buffer.from(JSON.stringify({ model, stream: true, messages: [] }));
-const streamAnswer = createStreamAnswer(model, 3);
-const plainAnswer = createPlainAnswer(JSON.stringify({ model, choices: [] }));
+const streamResponse = createStreamResponse(model, 3);
+const plainResponse = createPlainResponse(JSON.stringify({ model, choices: [] }));
 
-interface Attempt {
+interface CompletionRun {
     readonly end: CompletionEnd;
     readonly received: string;
-    readonly hasBegun: boolean;
+    readonly hasReceivedHead: boolean;
 }
 
 async function runCompletion(
@@ -23,9 +23,9 @@
     address: string,
     isStream: boolean,
     silenceMs = 5000,
-): Promise<Attempt> {
+): Promise<CompletionRun> {
     let received = "";
-    let hasBegun = false;
+    let hasReceivedHead = false;
     const completion = new HttpEngineClient(connections).open({
         address,
         path: "/v1/chat/completions",
@@ -37,14 +37,14 @@
         silenceMs,
         receiver: {
             receiveHead: () => {
-                hasBegun = true;
+                hasReceivedHead = true;
             },
             receiveData: chunk => {
                 received += chunk.toString("latin1");
             },
         },
     });
-    return { end: await completion.end, received, hasBegun };
+    return { end: await completion.end, received, hasReceivedHead };
 }
 
 async function runWithServer(
@@ -61,12 +61,15 @@
     }
 }
 
-/** The bytes of a chunked answer's events. */
-const wholeStream = streamAnswer.slice(streamAnswer.indexOf("\r\n\r\n") + 4).replace(/(?:^|\r\n)[0-9a-f]+\r\n/g, "")
+/** The events of the chunked response, without the chunk framing. */
+const completeStreamBody = streamResponse.slice(streamResponse.indexOf("\r\n\r\n") + 4).replace(
+    /(?:^|\r\n)[0-9a-f]+\r\n/g,
+    "",
+)
     .replace(/\r\n$/, "");
 
-/** Where an exchange can break, whether the upstream ran it, and what may be said of it. */
-const breaks: readonly { point: BreakPoint; bytes?: number; ran: boolean; verdict: string; }[] = [
+/** Points at which an exchange breaks, whether the upstream ran the request, and the expected verdict. */
+const breakCases: readonly { point: BreakPoint; bytes?: number; ran: boolean; verdict: string; }[] = [
     { point: "accept", ran: false, verdict: "mayHaveRun" },
     { point: "request", bytes: 10, ran: false, verdict: "mayHaveRun" },
     { point: "request", bytes: 150, ran: false, verdict: "mayHaveRun" },
@@ -79,17 +82,17 @@
     { point: "never", ran: true, verdict: "complete" },
 ];
 
-for (const { point, bytes = 0, ran, verdict } of breaks) {
-    test(`an exchange that breaks at "${point}" after ${bytes} bytes is told as ${verdict}`, () =>
+for (const { point, bytes = 0, ran, verdict } of breakCases) {
+    test(`an exchange that breaks at "${point}" after ${bytes} bytes has the verdict ${verdict}`, () =>
         runWithServer(async (server, address, connections) => {
-            server.plan = { point, bytes, answer: streamAnswer };
+            server.plan = { point, bytes, response: streamResponse };
             const { end } = await runCompletion(connections, address, true, 100);
             assert.is(server.runs, ran ? 1 : 0);
             assert.is(end.verdict.kind, verdict);
         }));
 }
 
-test("an upstream that cannot be reached has not run the request", async () => {
+test("a request to an unreachable upstream has the verdict notRun", async () => {
     const closed = createServer().listen(0, "127.0.0.1");
     await once(closed, "listening");
     const { port } = closed.address() as AddressInfo;
@@ -100,7 +103,7 @@
     assert.ok(end.isSure);
 });
 
-test("a request whose lease has lapsed by the time of the write is not sent", () =>
+test("a request whose lease expires before the write is not sent", () =>
     runWithServer(async (server, address, connections) => {
         const completion = new HttpEngineClient(connections).open({
             address,
@@ -120,83 +123,96 @@
         assert.is(server.runs, 0);
     }));
 
-test("a stream cut at every byte is never taken for a whole one", () =>
+test("a stream cut at any byte never has the verdict complete", () =>
     runWithServer(async (server, address, connections) => {
-        for (let bytes = 1; bytes < streamAnswer.length; bytes++) {
-            server.plan = { point: "answer", bytes, answer: streamAnswer };
+        for (let bytes = 1; bytes < streamResponse.length; bytes++) {
+            server.plan = { point: "answer", bytes, response: streamResponse };
             const { end, received } = await runCompletion(connections, address, true);
             assert.is(end.verdict.kind, "mayHaveRun", `cut after ${bytes} bytes`);
-            assert.ok(wholeStream.startsWith(received), `bytes of another answer after ${bytes} bytes`);
+            assert.ok(
+                completeStreamBody.startsWith(received),
+                `the received bytes are not a prefix of the stream, cut after ${bytes} bytes`,
+            );
         }
     }));
 
-test("a plain answer cut at every byte is never passed on", () =>
+test("a plain response cut at any byte is never passed to the caller", () =>
     runWithServer(async (server, address, connections) => {
-        for (let bytes = 1; bytes < plainAnswer.length; bytes++) {
-            server.plan = { point: "answer", bytes, answer: plainAnswer };
-            const { end, hasBegun } = await runCompletion(connections, address, false);
+        for (let bytes = 1; bytes < plainResponse.length; bytes++) {
+            server.plan = { point: "answer", bytes, response: plainResponse };
+            const { end, hasReceivedHead } = await runCompletion(connections, address, false);
             assert.is(end.verdict.kind, "mayHaveRun", `cut after ${bytes} bytes`);
-            assert.not(hasBegun);
+            assert.not(hasReceivedHead);
         }
     }));
 
-/** Answers that are whole for HTTP, and must not be passed on as whole all the same. */
-const wrongAnswers: readonly { name: string; isStream: boolean; answer: string; reason: string; }[] = [
+/** Responses that are complete by HTTP framing, but must not have the verdict complete. */
+const invalidResponses: readonly { name: string; isStream: boolean; response: string; reason: string; }[] = [
     {
-        name: "a stream that ends cleanly without its end mark",
+        name: "a stream that ends cleanly without its end marker",
         isStream: true,
-        answer: createStreamAnswer(model, 3, false),
+        response: createStreamResponse(model, 3, false),
         reason: "truncatedAnswer",
     },
-    { name: "a stream of another model", isStream: true, answer: createStreamAnswer("base", 3), reason: "wrongModel" },
+    {
+        name: "a stream of another model",
+        isStream: true,
+        response: createStreamResponse("base", 3),
+        reason: "wrongModel",
+    },
     {
         name: "a stream of another version",
         isStream: true,
-        answer: createStreamAnswer("declaration@1", 3),
+        response: createStreamResponse("declaration@1", 3),
         reason: "wrongModel",
     },
     {
-        name: "a plain answer of another model",
+        name: "a plain response of another model",
         isStream: false,
-        answer: createPlainAnswer("{\"model\":\"base\"}"),
+        response: createPlainResponse("{\"model\":\"base\"}"),
         reason: "wrongModel",
     },
     {
-        name: "a plain answer that names no model",
+        name: "a plain response that names no model",
         isStream: false,
-        answer: createPlainAnswer("{}"),
+        response: createPlainResponse("{}"),
         reason: "malformedAnswer",
     },
     {
-        name: "a plain answer that is cut but declared whole",
+        name: "a plain response that is cut, with the content-length of the cut body",
         isStream: false,
-        answer: createPlainAnswer("{\"model\":\"decl"),
+        response: createPlainResponse("{\"model\":\"decl"),
         reason: "malformedAnswer",
     },
-    { name: "a failure", isStream: true, answer: createPlainAnswer("{}", 500), reason: "upstreamFailed" },
+    {
+        name: "a response with status 500",
+        isStream: true,
+        response: createPlainResponse("{}", 500),
+        reason: "upstreamFailed",
+    },
 ];
 
-for (const { name, isStream, answer, reason } of wrongAnswers) {
-    test(`${name} is told as ${reason}`, () =>
+for (const { name, isStream, response, reason } of invalidResponses) {
+    test(`${name} has the verdict mayHaveRun for the reason ${reason}`, () =>
         runWithServer(async (server, address, connections) => {
-            server.plan = { point: "never", bytes: 0, answer };
+            server.plan = { point: "never", bytes: 0, response };
             const { end } = await runCompletion(connections, address, isStream);
             assert.is(end.verdict.kind, "mayHaveRun");
             assert.is(end.verdict.kind === "mayHaveRun" && end.verdict.reason, reason);
         }));
 }
 
-test("a wrong model passes no byte to the caller", () =>
+test("a stream of another model passes no byte to the caller", () =>
     runWithServer(async (server, address, connections) => {
-        server.plan = { point: "never", bytes: 0, answer: createStreamAnswer("base", 3) };
-        const { received, hasBegun } = await runCompletion(connections, address, true);
+        server.plan = { point: "never", bytes: 0, response: createStreamResponse("base", 3) };
+        const { received, hasReceivedHead } = await runCompletion(connections, address, true);
         assert.is(received, "");
-        assert.not(hasBegun);
+        assert.not(hasReceivedHead);
     }));
 
-test("over random plans on reused connections, not-run was not run and complete is complete", () =>
+test("over random plans on reused connections, no notRun request ran and each complete response is whole", () =>
     runWithServer(async (server, address, connections) => {
-        const plan: fc.Arbitrary<Plan & { isStream: boolean; }> = fc.record({
+        const plan: fc.Arbitrary<ResponsePlan & { isStream: boolean; }> = fc.record({
             point: fc.constantFrom<BreakPoint>(
                 "accept",
                 "request",
@@ -208,11 +224,11 @@
                 "never",
                 "never",
             ),
-            bytes: fc.integer({ min: 1, max: streamAnswer.length - 1 }),
+            bytes: fc.integer({ min: 1, max: streamResponse.length - 1 }),
             isStream: fc.boolean(),
         }).map(({ point, bytes, isStream }) => {
-            const answer = isStream ? streamAnswer : plainAnswer;
-            return { point, bytes: Math.min(bytes, answer.length - 1), isStream, answer };
+            const response = isStream ? streamResponse : plainResponse;
+            return { point, bytes: Math.min(bytes, response.length - 1), isStream, response };
         });
         let falseMayHaveRun = 0;
         await fc.assert(
@@ -223,31 +239,36 @@
                 const ran = server.runs - before;
                 assert.ok(ran <= 1);
                 if (end.verdict.kind === "notRun") {
-                    assert.is(ran, 0, "not-run was run");
+                    assert.is(ran, 0, "a request with the verdict notRun ran");
                 }
                 if (end.verdict.kind === "complete") {
-                    assert.is(received, drawn.isStream ? wholeStream : JSON.stringify({ model, choices: [] }));
+                    assert.is(received, drawn.isStream ? completeStreamBody : JSON.stringify({ model, choices: [] }));
                 }
                 falseMayHaveRun += end.verdict.kind === "mayHaveRun" && ran === 0 ? 1 : 0;
             }),
             { seed: 3, numRuns: 2000 },
         );
-        assert.ok(falseMayHaveRun > 0, "some plans close before acting, which no protocol can tell");
+        assert.ok(
+            falseMayHaveRun > 0,
+            "no exchange broke before the request ran with the verdict mayHaveRun, which no client can avoid",
+        );
     }));
 
-test("answers of requests at the same time go to their own callers", () =>
+test("responses to concurrent requests go to their own callers", () =>
     runWithServer(async (server, address, connections) => {
-        server.plan = { point: "never", bytes: 0, answer: streamAnswer };
+        server.plan = { point: "never", bytes: 0, response: streamResponse };
         const attempts = await Promise.all(Array.from({ length: 50 }, () => runCompletion(connections, address, true)));
         assert.ok(
-            attempts.every(attempt => attempt.end.verdict.kind === "complete" && attempt.received === wholeStream),
+            attempts.every(attempt =>
+                attempt.end.verdict.kind === "complete" && attempt.received === completeStreamBody
+            ),
         );
         assert.is(server.runs, 50);
     }));
 
-test("a service's whole answer is passed on whatever its status", () =>
+test("a service's complete response is passed on whatever its status", () =>
     runWithServer(async (server, address, connections) => {
-        server.plan = { point: "never", bytes: 0, answer: createPlainAnswer("{\"no\":\"parcel\"}", 404) };
+        server.plan = { point: "never", bytes: 0, response: createPlainResponse("{\"no\":\"parcel\"}", 404) };
         let status = 0;
         let received = "";
         const call = new HttpServiceClient(connections).open({
@@ -258,8 +279,8 @@
             body: undefined,
             silenceMs: 1000,
             receiver: {
-                receiveHead: head => {
-                    status = head;
+                receiveHead: responseStatus => {
+                    status = responseStatus;
                 },
                 receiveData: chunk => {
                     received += chunk.toString();
--- a/packages/upstreams/test/server.ts
+++ b/packages/upstreams/test/server.ts
@@ -2,38 +2,38 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** Where the exchange breaks, as the upstream decides it. */
+/** Point at which the upstream breaks the exchange. */
 export type BreakPoint =
-    /** The connection is closed as soon as it opens. */
+    /** The upstream closes the connection as soon as it opens. */
     | "accept"
-    /** Closed after some bytes of the request. */
+    /** The upstream closes the connection after some bytes of the request. */
     | "request"
-    /** Closed when the request is whole, before it is acted on. */
+    /** The upstream receives the whole request and closes the connection before running it. */
     | "beforeRun"
-    /** Acted on, and closed without an answer. */
+    /** The upstream runs the request and closes the connection without a response. */
     | "afterRun"
-    /** Acted on, and closed after some bytes of the answer. */
+    /** The upstream runs the request and closes the connection after some bytes of the response. */
     | "answer"
-    /** Refused before acting, with the header that says so. */
+    /** The upstream refuses the request before running it, with the `x-not-run` header. */
     | "refuse"
-    /** Acted on and answered whole. */
+    /** The upstream runs the request and sends the complete response. */
     | "never"
-    /** Acted on and never answered; the connection stays open. */
+    /** The upstream runs the request and never responds; the connection stays open. */
     | "silent";
 
 /** What the upstream does with one request. */
-export interface Plan {
+export interface ResponsePlan {
     readonly point: BreakPoint;
-    /** Bytes after which `request` and `answer` break. */
+    /** Number of bytes after which `request` and `answer` break. */
     readonly bytes: number;
-    /** The whole answer, head and body. */
-    readonly answer: string;
+    /** The complete response, head and body. */
+    readonly response: string;
 }
 
-/** An upstream at the level of bytes, which records what it truly ran. */
+/** An upstream that can break an exchange at any byte, and counts the requests that it ran. */
 export class ByteServer {
     runs = 0;
-    plan: Plan = { point: "never", bytes: 0, answer: "" };
+    plan: ResponsePlan = { point: "never", bytes: 0, response: "" };
     private readonly server: Server = createServer(socket => this.receive(socket));
     private readonly sockets = new Set<Socket>();
 
@@ -72,7 +72,7 @@
     }
 
     private run(socket: Socket): void {
-        const { point, bytes, answer } = this.plan;
+        const { point, bytes, response } = this.plan;
         switch (point) {
             case "refuse":
                 socket.write("HTTP/1.1 503 Service Unavailable\r\nx-not-run: 1\r\ncontent-length: 2\r\n\r\n{}");
@@ -89,16 +89,16 @@
                 return;
             case "answer":
                 this.runs++;
-                socket.write(answer.slice(0, bytes), () => socket.destroy());
+                socket.write(response.slice(0, bytes), () => socket.destroy());
                 return;
             default:
                 this.runs++;
-                socket.write(answer);
+                socket.write(response);
         }
     }
 }
 
-/** Length of the first whole request in `text`; undefined while it is not whole. */
+/** Length of the first complete request in `text`; undefined while the request is incomplete. */
 function findRequestLength(text: string): number | undefined {
     const headEnd = text.indexOf("\r\n\r\n");
     if (headEnd < 0) {
@@ -109,8 +109,8 @@
     return text.length >= end ? end : undefined;
 }
 
-/** A streamed answer in chunked encoding. */
-export function createStreamAnswer(model: string, tokens: number, hasEndMark = true): string {
+/** An event stream in chunked encoding. */
+export function createStreamResponse(model: string, tokens: number, hasEndMark = true): string {
     const events = Array.from(
         { length: tokens },
         (_, index) => `data: ${JSON.stringify({ model, choices: [{ delta: { content: `t${index}` } }] })}\n\n`,
@@ -122,7 +122,7 @@
     return `HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n${chunks}0\r\n\r\n`;
 }
 
-/** An answer with a length. */
-export function createPlainAnswer(body: string, status = 200): string {
+/** A response with a content-length. */
+export function createPlainResponse(body: string, status = 200): string {
     return `HTTP/1.1 ${status} Status\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 }
