--- a/packages/offerings/src/change.ts
+++ b/packages/offerings/src/change.ts
@@ -2,7 +2,7 @@
 import type { Change, Entry, EntryKey, Offerings } from "./schema.js";
 import type { OfferingsState } from "./state.js";
 
-/** Every entry of offerings as operators write them. */
+/** Lists every entry of offerings in the form that operators write. */
 export function listOfferingsEntries(offerings: Offerings): Entry[] {
     const entries: Entry[] = [];
     for (const [name, value] of Object.entries(offerings.customers)) {
@@ -18,22 +18,22 @@
     return entries;
 }
 
-/** What has to change so that `state` becomes `wanted`. */
-export function createChange(state: OfferingsState, wanted: Offerings): Change {
-    const present = new Map<string, string>();
+/** The change that turns `state` into `target`. */
+export function createChange(state: OfferingsState, target: Offerings): Change {
+    const currentTexts = new Map<string, string>();
     for (const entry of state.listEntries()) {
-        present.set(`${entry.section}/${entry.name}`, formatCanonical(entry.value));
+        currentTexts.set(`${entry.section}/${entry.name}`, formatCanonical(entry.value));
     }
     const set: Entry[] = [];
-    for (const entry of listOfferingsEntries(wanted)) {
+    for (const entry of listOfferingsEntries(target)) {
         const path = `${entry.section}/${entry.name}`;
-        if (present.get(path) !== formatCanonical(entry.value)) {
+        if (currentTexts.get(path) !== formatCanonical(entry.value)) {
             set.push(entry);
         }
-        present.delete(path);
+        currentTexts.delete(path);
     }
     const remove: EntryKey[] = [];
-    for (const path of present.keys()) {
+    for (const path of currentTexts.keys()) {
         const separator = path.indexOf("/");
         const section = path.slice(0, separator) as Entry["section"];
         if (section !== "policy") {
@@ -43,21 +43,21 @@
     return { set, remove };
 }
 
-/** One mistake in offerings that no schema can find. */
-export interface OfferingsMistake {
-    /** Dotted path of the value, as in a schema's mistake. */
+/** A fault in offerings that the schema cannot detect. */
+export interface OfferingsIssue {
+    /** Segments of the path to the value, as in a schema issue. */
     readonly path: string[];
     readonly message: string;
 }
 
-/** Finds references to what does not exist, and API keys that two customers share. */
-export function checkOfferings(offerings: Offerings): OfferingsMistake[] {
-    const mistakes: OfferingsMistake[] = [];
+/** Finds references to adapters and services that do not exist, and API keys that two client accounts share. */
+export function checkOfferings(offerings: Offerings): OfferingsIssue[] {
+    const issues: OfferingsIssue[] = [];
     const ownerByDigest = new Map<string, string>();
     for (const [name, customer] of Object.entries(offerings.customers)) {
         customer.adapters.forEach((pattern, index) => {
             if (!pattern.endsWith("*") && offerings.adapters[pattern] === undefined) {
-                mistakes.push({
+                issues.push({
                     path: ["customers", name, "adapters", String(index)],
                     message: `adapter "${pattern}" does not exist`,
                 });
@@ -65,7 +65,7 @@
         });
         customer.services.forEach((service, index) => {
             if (offerings.services[service] === undefined) {
-                mistakes.push({
+                issues.push({
                     path: ["customers", name, "services", String(index)],
                     message: `service "${service}" does not exist`,
                 });
@@ -75,10 +75,10 @@
             const owner = ownerByDigest.get(digest);
             if (owner !== undefined) {
                 const path = ["customers", name, "keyDigests", String(index)];
-                mistakes.push({ path, message: `the same key belongs to customer "${owner}"; give each its own` });
+                issues.push({ path, message: `customer "${owner}" has the same key; give each customer its own key` });
             }
             ownerByDigest.set(digest, name);
         });
     }
-    return mistakes;
+    return issues;
 }
--- a/packages/offerings/src/chunks.ts
+++ b/packages/offerings/src/chunks.ts
@@ -1,25 +1,25 @@
 import type { z } from "zod";
 import { type ContentRecord, contentRecordSchema, recordSchema } from "./records.js";
 
-interface Group {
+interface ChunkGroup {
     readonly firstOffset: number;
     readonly texts: (string | undefined)[];
 }
 
-/** What one record of the stream amounts to. */
+/** Result of receiving one record of the stream. */
 export type AssembledRecord =
     | { readonly kind: "content"; readonly record: ContentRecord; }
-    /** A chunk, or text that is no record at all. */
+    /** The record is a chunk, or its text cannot be parsed as a record. */
     | { readonly kind: "none"; }
-    /** The end of a chunked record of which chunks are missing. */
+    /** The record commits a chunked record of which chunks are missing. */
     | { readonly kind: "broken"; };
 
-/** Puts chunked records together. */
+/** Reassembles chunked records. */
 export class ChunkAssembler {
-    private readonly groups = new Map<string, Group>();
+    private readonly groups = new Map<string, ChunkGroup>();
 
-    /** Offset of the oldest chunk whose record is not ended; undefined without one. */
-    findOldest(): number | undefined {
+    /** Offset of the first chunk of the oldest uncommitted record; undefined without one. */
+    findOldestOffset(): number | undefined {
         let oldest: number | undefined;
         for (const group of this.groups.values()) {
             oldest = oldest === undefined ? group.firstOffset : Math.min(oldest, group.firstOffset);
@@ -27,7 +27,7 @@
         return oldest;
     }
 
-    /** Forgets every unfinished record that began below `offset`. */
+    /** Discards every uncommitted record whose first chunk is below `offset`. */
     removeBefore(offset: number): void {
         for (const [partOf, group] of this.groups) {
             if (group.firstOffset < offset) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Takes the record at `offset`. */
+    /** Receives the record at `offset`. */
     receive(offset: number, data: string): AssembledRecord {
         const record = parseJson(data, recordSchema);
         if (record === undefined) {
@@ -62,7 +62,7 @@
     private receiveCommit(partOf: string, chunks: number): AssembledRecord {
         const texts = this.groups.get(partOf)?.texts ?? [];
         this.groups.delete(partOf);
-        // `includes` finds holes too, which a chunk that came out of order leaves.
+        // `includes` also finds array holes, which skipped chunk indexes leave.
         if (texts.length !== chunks || texts.includes(undefined)) {
             return { kind: "broken" };
         }
--- a/packages/offerings/src/digest.ts
+++ b/packages/offerings/src/digest.ts
@@ -1,30 +1,31 @@
 import { createHash } from "node:crypto";
 import type { Entry } from "./schema.js";
 
-/** Bytes of a digest of offerings. */
+/** Size of a digest of offerings, in bytes. */
 export const digestBytes = 32;
 
-/** Members sorted by name, so that equal values have equal text. */
-function createCanonical(value: unknown): unknown {
+/** Sorts the members of objects by name, so that equal values have equal JSON text. */
+function createCanonicalValue(value: unknown): unknown {
     if (Array.isArray(value)) {
-        return value.map(createCanonical);
+        return value.map(createCanonicalValue);
     }
     if (typeof value !== "object" || value === null) {
         return value;
     }
     const members = Object.entries(value).filter(([, member]) => member !== undefined);
     members.sort(([left], [right]) => (left < right ? -1 : 1));
-    return Object.fromEntries(members.map(([name, member]) => [name, createCanonical(member)]));
+    return Object.fromEntries(members.map(([name, member]) => [name, createCanonicalValue(member)]));
 }
 
-/** Text of a value that does not depend on the order of its members. */
+/** JSON text of a value, independent of the order of its members. */
 export function formatCanonical(value: unknown): string {
-    return JSON.stringify(createCanonical(value));
+    return JSON.stringify(createCanonicalValue(value));
 }
 
 /**
- * Digest of a set of entries that can be kept up to date entry by entry: the exclusive or of the entries' SHA-256.
- * It finds nodes that hold different offerings; it is no defence against somebody who may write to the log.
+ * Digest of a set of entries that can be updated entry by entry: the exclusive or of the entries' SHA-256 digests.
+ * The digest detects nodes that hold different offerings; it does not protect against a writer of the log that forges
+ * entries.
  */
 export class EntryDigest {
     private readonly bytes: Buffer;
@@ -33,7 +34,7 @@
         this.bytes = from === undefined ? Buffer.alloc(digestBytes) : Buffer.from(from, "hex");
     }
 
-    /** Adds an entry, or removes one that was added before. */
+    /** Adds an entry, or removes an entry that was added before. */
     mergeEntry(entry: Entry): void {
         const hash = createHash("sha256").update(formatCanonical([entry.section, entry.name, entry.value])).digest();
         for (let index = 0; index < digestBytes; index++) {
--- a/packages/offerings/src/fold.ts
+++ b/packages/offerings/src/fold.ts
@@ -4,18 +4,18 @@
 import type { Change, Entry } from "./schema.js";
 import { OfferingsState } from "./state.js";
 
-/** Why a record changed nothing. */
-export type VoidReason = "baseMoved" | "digestMismatch";
+/** Why an apply was rejected. */
+export type RejectionReason = "baseMoved" | "digestMismatch";
 
-/** What became of one apply. */
+/** Whether an apply was accepted. */
 export interface ApplyOutcome {
     readonly applyId: string;
     readonly offset: number;
     readonly accepted: boolean;
-    readonly reason?: VoidReason;
+    readonly reason?: RejectionReason;
 }
 
-/** An accepted apply, as peers pass it on. */
+/** An accepted apply, as sent to peers. */
 export interface AcceptedChange {
     readonly version: number;
     readonly base: number;
@@ -24,7 +24,7 @@
     readonly change: Change;
 }
 
-/** A whole version, as peers pass it on. */
+/** A complete version of the offerings, as sent to peers. */
 export interface WholeVersion {
     readonly version: number;
     /** Every record below this offset is folded into the version. */
@@ -33,44 +33,45 @@
     readonly entries: Entry[];
 }
 
-/** Accepted changes, and outcomes of applies, that are kept for peers and for the writers of applies. */
-const maxKept = 256;
+/** Number of accepted changes retained for peers, and number of outcomes retained for the writers of applies. */
+const maxRetained = 256;
 
-/** Entries of the largest change that is kept. */
-export const maxKeptEntries = 2000;
+/** Number of entries in the largest change that is retained. */
+export const maxRetainedEntries = 2000;
 
-/** Records read after others were trimmed unread, until a snapshot or a peer closes the gap. */
+/** A gap of records that were trimmed before they were read, open until a snapshot or a peer's version covers it. */
 interface Gap {
-    /** Offset up to which records were folded before. */
+    /** Offset of the first record that was not folded. */
     readonly start: number;
     /** Offset of the first record after the gap. */
     readonly end: number;
+    /** Records read since the gap opened. */
     readonly records: { offset: number; record: ContentRecord; }[];
-    /** Offset of the last record that cannot be read since the gap swallowed its beginning. */
+    /** Offset of the last commit whose record is unreadable, because its first chunks lie in the gap. */
     lastBroken: number;
 }
 
 /**
  * Folds the log's records, in offset order, into the offerings in force. Every reader of the same records reaches the
- * same version, and no reader ever goes back to an older one. See docs/design/configuration.md.
+ * same version, and no reader returns to an older version. See docs/design/configuration.md.
  */
 export class OfferingsFold {
     private state = new OfferingsState();
     private currentVersion = emptyVersion;
-    private known = false;
+    private isVersionKnown = false;
     private next = 0;
     private gap: Gap | undefined;
     private readonly chunks = new ChunkAssembler();
-    private readonly kept: AcceptedChange[] = [];
+    private readonly recentChanges: AcceptedChange[] = [];
     private neededAt: number | undefined;
     private readonly outcomes = new Map<string, ApplyOutcome>();
 
-    /** Whether a version is known: the log was read from its first record, or a snapshot or a peer gave one. */
+    /** Whether a version is known: from reading the log from its first record, from a snapshot or from a peer. */
     get isKnown(): boolean {
-        return this.known;
+        return this.isVersionKnown;
     }
 
-    /** Whether records were trimmed before they were read here, and nothing has made up for them yet. */
+    /** Whether records were trimmed before this reader read them, and no snapshot or peer's version covers them yet. */
     get hasGap(): boolean {
         return this.gap !== undefined;
     }
@@ -84,18 +85,18 @@
         return this.state;
     }
 
-    /** Offset to read from next. */
+    /** Offset of the next record to read. */
     get nextOffset(): number {
         return this.next;
     }
 
-    /** Folds one page and returns the outcomes of the applies in it. */
+    /** Folds a page and returns the outcomes of the applies in it. */
     foldPage(page: LogPage): ApplyOutcome[] {
         if (page.earliest > this.next) {
             this.openGap(page.earliest);
         }
         else if (this.next === 0 && this.gap === undefined) {
-            this.known = true;
+            this.isVersionKnown = true;
         }
         const outcomes: ApplyOutcome[] = [];
         for (const { offset, data } of page.records) {
@@ -111,9 +112,9 @@
         return outcomes;
     }
 
-    /** Takes an accepted change from a peer if it is the very next one here. */
+    /** Applies an accepted change from a peer if its base is the version in force. Returns whether it was applied. */
     foldPeerChange(accepted: AcceptedChange): boolean {
-        if (!this.known || accepted.base !== this.currentVersion || accepted.version <= this.currentVersion) {
+        if (!this.isVersionKnown || accepted.base !== this.currentVersion || accepted.version <= this.currentVersion) {
             return false;
         }
         if (this.state.readDigestAfter(accepted.change) !== accepted.digest) {
@@ -123,9 +124,12 @@
         return true;
     }
 
-    /** Takes a whole version from a peer if it is newer than what is known here, or closes a gap. */
+    /**
+     * Applies a peer's complete version if it is newer than the version in force, or closes the gap with it. Returns
+     * whether either happened.
+     */
     foldPeerVersion(whole: WholeVersion): boolean {
-        const isNewer = !this.known || whole.version > this.currentVersion;
+        const isNewer = !this.isVersionKnown || whole.version > this.currentVersion;
         if (this.gap !== undefined) {
             return this.closeGap(whole) || (isNewer && this.setState(whole));
         }
@@ -139,19 +143,19 @@
         return true;
     }
 
-    /** Accepted changes after `version`, oldest first; undefined where the chain from there is no longer kept. */
+    /** Accepted changes after `version`, oldest first; undefined if the chain from `version` is no longer retained. */
     listChangesAfter(version: number): AcceptedChange[] | undefined {
         if (version === this.currentVersion) {
             return [];
         }
-        const start = this.kept.findIndex(change => change.base === version);
-        return start < 0 ? undefined : this.kept.slice(start);
+        const start = this.recentChanges.findIndex(change => change.base === version);
+        return start < 0 ? undefined : this.recentChanges.slice(start);
     }
 
-    /** The whole version in force, for a peer. */
+    /** The complete version in force, for a peer. */
     readWhole(): WholeVersion {
-        // A peer that starts here must still read the chunks of records that are not ended.
-        const asOf = Math.min(this.gap?.start ?? this.next, this.chunks.findOldest() ?? this.next);
+        // A peer that starts from this version must still read the chunks of uncommitted records.
+        const asOf = Math.min(this.gap?.start ?? this.next, this.chunks.findOldestOffset() ?? this.next);
         return {
             version: this.currentVersion,
             asOf,
@@ -161,30 +165,34 @@
     }
 
     /**
-     * The snapshot to append; undefined while this reader cannot vouch for one. It voids chunked records begun before.
+     * The snapshot to append; undefined while this reader knows no version or has a gap. Readers discard uncommitted
+     * chunked records that began before the snapshot's `asOf`.
      * @param at Time of writing, in milliseconds since 1970.
      */
     createSnapshot(at: number): SnapshotRecord | undefined {
-        if (!this.known || this.gap !== undefined) {
+        if (!this.isVersionKnown || this.gap !== undefined) {
             return undefined;
         }
         return { kind: "snapshot", ...this.readWhole(), asOf: this.next, at };
     }
 
     /**
-     * When the oldest record was written that a reader without peers needs, in milliseconds since 1970: the last
-     * snapshot, or before the first one the first apply. Undefined while there is nothing to keep.
+     * Time at which the oldest record that a reader without peers needs was written, in milliseconds since 1970. That
+     * record is the last snapshot or, without a snapshot, the first apply. Undefined before either was read.
      */
     get oldestNeededAt(): number | undefined {
         return this.neededAt;
     }
 
-    /** What became of an apply; undefined if none of its records is folded yet, or was folded too long ago to tell. */
+    /** Outcome of an apply; undefined if the apply is not folded yet, or its outcome is no longer retained. */
     findOutcome(applyId: string): ApplyOutcome | undefined {
         return this.outcomes.get(applyId);
     }
 
-    /** Records were trimmed unread. The version in force stays, and moves again once something covers the gap. */
+    /**
+     * Opens a gap for records that were trimmed before they were read. The version in force stays until a snapshot or a
+     * peer's version covers the gap, or a peer sends a newer version.
+     */
     private openGap(earliest: number): void {
         this.chunks.removeBefore(earliest);
         this.gap = { start: this.gap?.start ?? this.next, end: earliest, records: [], lastBroken: -1 };
@@ -202,7 +210,7 @@
         const { record } = assembled;
         this.neededAt = record.kind === "snapshot" ? record.at : this.neededAt ?? record.at;
         if (record.kind === "snapshot") {
-            // Readers that start with this snapshot lack the chunks before it, so nobody may use them.
+            // Readers that start from this snapshot lack the earlier chunks, so no reader may use them.
             this.chunks.removeBefore(record.asOf);
         }
         if (this.gap === undefined) {
@@ -215,13 +223,13 @@
         return undefined;
     }
 
-    /** Ends the gap if `whole` covers it, and folds the records that `whole` does not hold. */
+    /** Closes the gap if `whole` covers it, and folds the records that `whole` does not include. */
     private closeGap(whole: WholeVersion): boolean {
         const gap = this.gap;
         if (gap === undefined || whole.asOf < gap.end || gap.lastBroken >= whole.asOf) {
             return false;
         }
-        if (whole.version > this.currentVersion || !this.known) {
+        if (whole.version > this.currentVersion || !this.isVersionKnown) {
             if (!this.setState(whole)) {
                 return false;
             }
@@ -243,7 +251,7 @@
             return earlier;
         }
         if (offset < this.currentVersion) {
-            // A peer was ahead of the log; what this record did is part of the version, but cannot be told any more.
+            // The version in force came from a peer that had read more. It covers this record; the outcome is unknown.
             return undefined;
         }
         if (offset === this.currentVersion) {
@@ -263,21 +271,21 @@
         this.state.applyChange(accepted.change);
         this.currentVersion = accepted.version;
         this.recordOutcome({ applyId: accepted.applyId, offset: accepted.version, accepted: true });
-        // A change this large travels as a whole version; keeping it would hold its entries twice.
-        if (accepted.change.set.length + accepted.change.remove.length > maxKeptEntries) {
-            this.kept.length = 0;
+        // A change of this size is sent as a complete version; retaining it would hold its entries twice.
+        if (accepted.change.set.length + accepted.change.remove.length > maxRetainedEntries) {
+            this.recentChanges.length = 0;
             return;
         }
-        this.kept.push(accepted);
-        if (this.kept.length > maxKept) {
-            this.kept.shift();
+        this.recentChanges.push(accepted);
+        if (this.recentChanges.length > maxRetained) {
+            this.recentChanges.shift();
         }
     }
 
     private recordOutcome(outcome: ApplyOutcome): ApplyOutcome {
         this.outcomes.delete(outcome.applyId);
         this.outcomes.set(outcome.applyId, outcome);
-        if (this.outcomes.size > maxKept) {
+        if (this.outcomes.size > maxRetained) {
             const [oldest] = this.outcomes.keys();
             this.outcomes.delete(oldest!);
         }
@@ -285,7 +293,7 @@
     }
 
     private setState(whole: WholeVersion): boolean {
-        // Never backwards: an older snapshot may still be met after a newer version came from a peer.
+        // An older snapshot may still be read after a newer version was received from a peer.
         if (whole.version < this.currentVersion) {
             return false;
         }
@@ -296,8 +304,8 @@
         }
         this.state = state;
         this.currentVersion = whole.version;
-        this.known = true;
-        this.kept.length = 0;
+        this.isVersionKnown = true;
+        this.recentChanges.length = 0;
         return true;
     }
 }
--- a/packages/offerings/src/index.ts
+++ b/packages/offerings/src/index.ts
@@ -1,12 +1,12 @@
-/** Declarative offerings: their schema, the change between two versions, and the fold of the log into the one in force. */
-export { checkOfferings, createChange, listOfferingsEntries, type OfferingsMistake } from "./change.js";
+/** Declarative offerings: schema, difference between versions, and fold of log records into the version in force. */
+export { checkOfferings, createChange, listOfferingsEntries, type OfferingsIssue } from "./change.js";
 export { EntryDigest, formatCanonical } from "./digest.js";
 export {
     type AcceptedChange,
     type ApplyOutcome,
-    maxKeptEntries,
+    maxRetainedEntries,
     OfferingsFold,
-    type VoidReason,
+    type RejectionReason,
     type WholeVersion,
 } from "./fold.js";
 export {
--- a/packages/offerings/src/records.ts
+++ b/packages/offerings/src/records.ts
@@ -1,22 +1,22 @@
 import { z } from "zod";
 import { changeSchema, entrySchema } from "./schema.js";
 
-/** Stream of the log that carries the offerings. */
+/** Log stream that carries the offerings. */
 export const offeringsStream = "offerings";
 
 /** Version before the first accepted apply. */
 export const emptyVersion = -1;
 
-/** Largest text of one record, in characters. A larger one travels as chunks. */
+/** Longest text of one record, in characters. A longer text is split into chunks. */
 export const maxRecordLength = 192 * 1024;
 
-/** An operator's apply: in force from its own offset on if `base` is the version in force there, else void. */
+/** An operator's apply. It takes effect at its offset if `base` is the version in force there, else it is rejected. */
 export const applyRecordSchema = z.strictObject({
     kind: z.literal("apply"),
     applyId: z.string().min(1).max(100),
-    /** Version that the change was made against: the offset of the apply that made it. */
+    /** Version against which the change was made: the offset of that version's apply. */
     base: z.number().int().min(emptyVersion),
-    /** Digest of the whole offerings after the change. */
+    /** Digest of all offerings after the change. */
     digest: z.string(),
     author: z.string().max(200),
     /** When it was written, in milliseconds since 1970. */
@@ -24,7 +24,7 @@
     change: changeSchema,
 });
 
-/** The whole offerings again, so that they outlive the log's retention. */
+/** A copy of all offerings, so that they outlive the log's retention. */
 export const snapshotRecordSchema = z.strictObject({
     kind: z.literal("snapshot"),
     version: z.number().int().min(emptyVersion),
@@ -36,23 +36,23 @@
     entries: z.array(entrySchema),
 });
 
-/** A part of a large record's text. */
+/** A part of the text of a chunked record. */
 export const chunkRecordSchema = z.strictObject({
     kind: z.literal("chunk"),
-    /** Names the large record; chosen by its writer. */
+    /** Identifies the chunked record; set by its writer. */
     partOf: z.string().min(1).max(100),
     index: z.number().int().nonnegative(),
     text: z.string(),
 });
 
-/** Ends a chunked record, which counts from this offset. */
+/** Completes a chunked record, which takes effect at the offset of this commit. */
 export const commitRecordSchema = z.strictObject({
     kind: z.literal("commit"),
     partOf: z.string().min(1).max(100),
     chunks: z.number().int().positive(),
 });
 
-/** A record with content. */
+/** A record that carries offerings: an apply or a snapshot. */
 export const contentRecordSchema = z.discriminatedUnion("kind", [applyRecordSchema, snapshotRecordSchema]);
 
 /** Any record of the stream. */
@@ -71,8 +71,8 @@
 export type ContentRecord = z.infer<typeof contentRecordSchema>;
 
 /**
- * The texts to append for one record, in order: itself, or chunks and their commit.
- * @param partOf Name of the chunked record; it must be new for each attempt, so that attempts do not mix.
+ * The texts to append for a record, in order: the record's own text, or its chunks and their commit.
+ * @param partOf Identifier of the chunked record; unique for each attempt, so that chunks of two attempts do not mix.
  */
 export function encodeRecord(record: ContentRecord, partOf: string, maxLength = maxRecordLength): string[] {
     const text = JSON.stringify(record);
--- a/packages/offerings/src/schema.ts
+++ b/packages/offerings/src/schema.ts
@@ -5,58 +5,58 @@
     "expected a name of letters, digits, '.', '_' and '-'",
 );
 
-/** Whether a customer pays or tries. Paying requests never wait behind trial ones. */
+/** Class of a client account. Paying requests never wait behind trial requests. */
 export const customerClassSchema = z.enum(["paying", "trial"]);
 
 /** See {@link customerClassSchema}. */
 export type CustomerClass = z.infer<typeof customerClassSchema>;
 
-/** One customer. */
+/** A client account. */
 export const customerSchema = z.strictObject({
     class: customerClassSchema,
     /** SHA-256 digests of the API keys, in lower-case hexadecimal. */
     keyDigests: z.array(
         z.string().regex(/^[0-9a-f]{64}$/, "expected a SHA-256 digest: 64 lower-case hexadecimal digits"),
     ).min(1),
-    /** Adapters it may use: names, or prefixes that end in `*`. */
+    /** Adapters that the account may use: names, or prefixes that end in `*`. */
     adapters: z.array(z.string().min(1)).default([]),
-    /** Plain services it may call. */
+    /** Plain services that the account may call. */
     services: z.array(nameSchema).default([]),
-    /** Share against other customers of its class. */
+    /** Share relative to other accounts of the same class. */
     weight: z.number().positive().max(1000).default(1),
 });
 
-/** One adapter and the versions that are served. */
+/** An adapter and its served versions. */
 export const adapterSchema = z.strictObject({
     baseModel: nameSchema,
     versions: z.array(nameSchema).min(1),
 });
 
-/** One call of a service that must not run twice. */
+/** A service call that must not run twice. */
 export const nonIdempotentCallSchema = z.strictObject({
     method: z.enum(["POST", "PUT", "PATCH", "DELETE"]),
-    /** Path below the service; a trailing `*` matches any rest. */
+    /** Path below the service; a trailing `*` matches any suffix. */
     path: z.string().startsWith("/"),
 });
 
-/** One plain service. */
+/** A plain service. */
 export const serviceSchema = z.strictObject({
     nonIdempotent: z.array(nonIdempotentCallSchema).default([]),
-    /** Longest silence of an upstream before the call is given up, in milliseconds. */
+    /** Longest silence of an upstream before the call fails, in milliseconds. */
     timeoutMs: z.number().int().positive().default(10_000),
 });
 
-/** How decisions weigh one thing against another. */
+/** Weights and limits of scheduling and loading decisions. */
 export const policySchema = z.strictObject({
-    /** 1 weighs load stalls only, 0 weighs batch fullness only. */
+    /** Weight of load stalls against batch fullness: 1 counts only stalls, 0 counts only fullness. */
     stallWeight: z.number().min(0).max(1).default(0.7),
-    /** Share of an engine's batch room that trial requests may take while paying ones use the engine. */
+    /** Share of an engine's batch room that trial requests may take while paying requests use the engine. */
     trialBatchShare: z.number().min(0).max(1).default(0.3),
-    /** Share of an engine's slots that adapters wanted by trials alone may hold. */
+    /** Share of an engine's adapter slots for adapters that only trial requests use. */
     trialSlotShare: z.number().min(0).max(1).default(0.25),
-    /** Loads a second that the weight store bears, over all data centres. */
+    /** Adapter loads per second that the weight store sustains, over all data centres. */
     storeLoadsPerSecond: z.number().positive().default(2),
-    /** Weights of the data centres' shares of that rate; one that is not listed weighs 1. */
+    /** Weights by which the data centres share `storeLoadsPerSecond`; an unlisted data centre has weight 1. */
     storeShares: z.record(nameSchema, z.number().positive()).default({}),
 });
 
@@ -79,7 +79,7 @@
 /** See {@link offeringsSchema}. */
 export type Offerings = z.infer<typeof offeringsSchema>;
 
-/** One entry that a change sets. */
+/** An entry that a change sets. */
 export const entrySchema = z.discriminatedUnion("section", [
     z.strictObject({ section: z.literal("customers"), name: nameSchema, value: customerSchema }),
     z.strictObject({ section: z.literal("adapters"), name: nameSchema, value: adapterSchema }),
@@ -90,7 +90,7 @@
 /** See {@link entrySchema}. */
 export type Entry = z.infer<typeof entrySchema>;
 
-/** The place of an entry. */
+/** Section and name of an entry that a change removes. */
 export const entryKeySchema = z.strictObject({
     section: z.enum(["customers", "adapters", "services"]),
     name: nameSchema,
@@ -99,7 +99,7 @@
 /** See {@link entryKeySchema}. */
 export type EntryKey = z.infer<typeof entryKeySchema>;
 
-/** What an apply changes. */
+/** Entries that an apply sets and removes. */
 export const changeSchema = z.strictObject({ set: z.array(entrySchema), remove: z.array(entryKeySchema) });
 
 /** See {@link changeSchema}. */
--- a/packages/offerings/src/state.ts
+++ b/packages/offerings/src/state.ts
@@ -14,12 +14,12 @@
 
 const defaultPolicy = policySchema.parse({});
 
-/** A customer with its name. */
+/** A client account with its name. */
 export interface NamedCustomer extends Customer {
     readonly name: string;
 }
 
-/** The model that a request names: `adapter@version`. */
+/** Adapter and version of a model name, `adapter@version`. */
 export interface ModelName {
     readonly adapter: string;
     readonly version: string;
@@ -38,12 +38,12 @@
     return patterns.some(pattern => pattern.endsWith("*") ? name.startsWith(pattern.slice(0, -1)) : pattern === name);
 }
 
-/** Offerings held in memory, changed entry by entry at the cost of the change alone. */
+/** Offerings in memory. A change costs time in proportion to its own size, not to that of the offerings. */
 export class OfferingsState {
     private readonly customers = new Map<string, Customer>();
     private readonly adapters = new Map<string, Adapter>();
     private readonly services = new Map<string, Service>();
-    private readonly customerByKey = new Map<string, string>();
+    private readonly customerByKeyPrefix = new Map<string, string>();
     private entryDigest = new EntryDigest();
     private currentPolicy: Policy | undefined;
 
@@ -59,10 +59,10 @@
         return { customers: this.customers.size, adapters: this.adapters.size, services: this.services.size };
     }
 
-    /** Digest that the state would have after `change`, at the cost of the change. */
+    /** Digest that the state would have after `change`. Hashes only the entries that the change replaces or sets. */
     readDigestAfter(change: Change): string {
         const digest = new EntryDigest(this.digest);
-        for (const entry of this.listReplaced(change)) {
+        for (const entry of this.listReplacedEntries(change)) {
             digest.mergeEntry(entry);
         }
         for (const entry of change.set) {
@@ -71,7 +71,7 @@
         return digest.format();
     }
 
-    /** Applies a change. The caller has checked it. */
+    /** Applies a change, without validation. */
     applyChange(change: Change): void {
         this.entryDigest = new EntryDigest(this.readDigestAfter(change));
         for (const key of change.remove) {
@@ -82,16 +82,18 @@
         }
     }
 
-    /** The customer whose key has this SHA-256 digest (hexadecimal). */
+    /** The client account whose API key has this SHA-256 digest (hexadecimal). */
     findCustomer(keyDigest: string): NamedCustomer | undefined {
-        const name = this.customerByKey.get(keyDigest.slice(0, keyPrefixLength));
+        const name = this.customerByKeyPrefix.get(keyDigest.slice(0, keyPrefixLength));
         const customer = name === undefined ? undefined : this.customers.get(name);
         if (name === undefined || customer === undefined) {
             return undefined;
         }
-        // The index is keyed by a prefix only; whole digests are compared in constant time.
-        const wanted = Buffer.from(keyDigest, "hex");
-        const matches = customer.keyDigests.some(digest => timingSafeEqual(Buffer.from(digest, "hex"), wanted));
+        // The index is keyed by a prefix of the digest; the complete digests are compared in constant time.
+        const presentedDigest = Buffer.from(keyDigest, "hex");
+        const matches = customer.keyDigests.some(digest =>
+            timingSafeEqual(Buffer.from(digest, "hex"), presentedDigest)
+        );
         return matches ? { ...customer, name } : undefined;
     }
 
@@ -99,7 +101,7 @@
         return this.adapters.get(name);
     }
 
-    /** The base model of a served model; undefined if that adapter or version does not exist. */
+    /** The base model of a served model; undefined if the adapter or the version does not exist. */
     findBaseModel(model: ModelName): string | undefined {
         const adapter = this.adapters.get(model.adapter);
         return adapter?.versions.includes(model.version) ? adapter.baseModel : undefined;
@@ -109,17 +111,17 @@
         return this.services.get(name);
     }
 
-    /** Whether the customer may use the adapter. */
+    /** Whether the client account may use the adapter. */
     isAdapterAllowed(customer: Customer, adapter: string): boolean {
         return isAllowed(customer.adapters, adapter);
     }
 
-    /** Whether the customer may call the service. */
+    /** Whether the client account may call the service. */
     isServiceAllowed(customer: Customer, service: string): boolean {
         return customer.services.includes(service);
     }
 
-    /** Every model that the customer may use, as `adapter@version`. */
+    /** Every model that the client account may use, as `adapter@version`. */
     listModels(customer: Customer): string[] {
         const models: string[] = [];
         for (const [name, adapter] of this.adapters) {
@@ -130,7 +132,7 @@
         return models;
     }
 
-    /** Every entry, for peers, snapshots and differences. */
+    /** Every entry. */
     *listEntries(): Generator<Entry> {
         for (const [name, value] of this.customers) {
             yield { section: "customers", name, value };
@@ -146,7 +148,7 @@
         }
     }
 
-    /** The whole as operators would write it. */
+    /** All offerings in the form that operators write. */
     readOfferings(): Offerings {
         return {
             customers: Object.fromEntries(this.customers),
@@ -176,13 +178,13 @@
         }
     }
 
-    private listReplaced(change: Change): Entry[] {
+    private listReplacedEntries(change: Change): Entry[] {
         return [...change.remove, ...change.set].map(key => this.findEntry(key)).filter(entry => entry !== undefined);
     }
 
     private removeEntry(key: EntryKey): void {
         if (key.section === "customers") {
-            this.removeKeys(key.name);
+            this.removeApiKeys(key.name);
         }
         this[key.section].delete(key.name);
     }
@@ -190,10 +192,10 @@
     private setEntry(entry: Entry): void {
         switch (entry.section) {
             case "customers":
-                this.removeKeys(entry.name);
+                this.removeApiKeys(entry.name);
                 this.customers.set(entry.name, entry.value);
                 for (const digest of entry.value.keyDigests) {
-                    this.customerByKey.set(digest.slice(0, keyPrefixLength), entry.name);
+                    this.customerByKeyPrefix.set(digest.slice(0, keyPrefixLength), entry.name);
                 }
                 return;
             case "adapters":
@@ -207,12 +209,12 @@
         }
     }
 
-    private removeKeys(customer: string): void {
+    private removeApiKeys(customer: string): void {
         for (const digest of this.customers.get(customer)?.keyDigests ?? []) {
-            this.customerByKey.delete(digest.slice(0, keyPrefixLength));
+            this.customerByKeyPrefix.delete(digest.slice(0, keyPrefixLength));
         }
     }
 }
 
-/** Hexadecimal digits of a key's digest that the index is keyed by. */
+/** Length of the digest prefix that the API key index uses, in hexadecimal digits. */
 const keyPrefixLength = 32;
--- a/packages/offerings/test/fold.test.ts
+++ b/packages/offerings/test/fold.test.ts
@@ -11,7 +11,7 @@
     type SnapshotRecord,
 } from "../src/index.js";
 
-/** The whole history, and what of it the log still keeps. */
+/** The complete history of a log that serves only the records from `earliest` on. */
 class ModelLog {
     readonly records: string[] = [];
     earliest = 0;
@@ -47,7 +47,7 @@
     };
 }
 
-/** Reads the whole history from its first record: what every reader must agree with. */
+/** Folds the complete history from its first record. Every reader must agree with the result. */
 function createReference(log: ModelLog): { versions: Map<number, string>; fold: OfferingsFold; } {
     const fold = new OfferingsFold();
     const versions = new Map<number, string>([[emptyVersion, fold.offerings.digest]]);
@@ -97,7 +97,7 @@
     amount: fc.nat(6),
 });
 
-/** Records to append for a step, some of them later, so that others come in between. */
+/** Appends the records of a step. An interrupted writer's records are appended one at a time, among those of others. */
 class Writers {
     private readonly pending: string[][] = [];
     private count = 0;
@@ -116,7 +116,7 @@
         return `apply-${++this.count}`;
     }
 
-    /** Appends one more record of an interrupted writer. */
+    /** Appends the next record of an interrupted writer. */
     advance(): void {
         const texts = this.pending.find(entry => entry.length > 0);
         const text = texts?.shift();
@@ -126,18 +126,18 @@
     }
 }
 
-test("over random histories every reader agrees with a reader of the whole log, and none goes back", () => {
+test("over random histories every reader agrees with a reader of the complete log, and no version decreases", () => {
     fc.assert(
         fc.property(fc.array(stepArbitrary, { minLength: 5, maxLength: 60 }), steps => {
             const log = new ModelLog();
             const writers = new Writers(log);
             const readers = [new OfferingsFold(), new OfferingsFold(), new OfferingsFold()];
             const lastVersions = [emptyVersion, emptyVersion, emptyVersion];
-            const kept: SnapshotRecord[] = [];
+            const snapshots: SnapshotRecord[] = [];
             for (const { kind, reader, other, amount } of steps) {
                 const fold = readers[reader]!;
                 writers.advance();
-                runStep(kind, fold, readers[other]!, amount, log, writers, kept);
+                runStep(kind, fold, readers[other]!, amount, log, writers, snapshots);
                 if (kind === "restart") {
                     readers[reader] = new OfferingsFold();
                     lastVersions[reader] = emptyVersion;
@@ -147,19 +147,19 @@
                     if (!each.isKnown) {
                         return;
                     }
-                    assert.ok(each.version >= lastVersions[index]!, "went back");
+                    assert.ok(each.version >= lastVersions[index]!, "the version decreased");
                     lastVersions[index] = each.version;
                     assert.is(
                         each.offerings.digest,
                         versions.get(each.version),
-                        `version ${each.version} differs from the whole log's`,
+                        `version ${each.version} differs from the complete log's`,
                     );
                 });
             }
             readers.forEach(fold => readAll(fold, log));
             const { fold: reference } = createReference(log);
             for (const fold of readers.filter(each => each.isKnown && !each.hasGap)) {
-                assert.is(fold.version, reference.version, "a reader that has read everything lags behind");
+                assert.is(fold.version, reference.version, "a reader of every record is not at the latest version");
             }
         }),
         { seed: 11, numRuns: 1500 },
@@ -173,7 +173,7 @@
     amount: number,
     log: ModelLog,
     writers: Writers,
-    kept: SnapshotRecord[],
+    snapshots: SnapshotRecord[],
 ): void {
     switch (kind) {
         case "apply":
@@ -193,14 +193,14 @@
         case "snapshot": {
             const snapshot = fold.createSnapshot(0);
             if (snapshot !== undefined) {
-                kept.push(snapshot);
+                snapshots.push(snapshot);
                 const name = writers.createName();
                 writers.write(encodeRecord(snapshot, name, amount % 2 === 0 ? 10_000 : 80), amount > 4);
             }
             return;
         }
         case "staleSnapshot": {
-            const snapshot = kept[amount % Math.max(1, kept.length)];
+            const snapshot = snapshots[amount % Math.max(1, snapshots.length)];
             if (snapshot !== undefined) {
                 log.append(JSON.stringify(snapshot));
             }
@@ -226,7 +226,7 @@
     }
 }
 
-test("of two applies against the same version one wins, and the other is told that its base has moved", () => {
+test("of two applies against the same version the first is accepted, and the second is rejected with baseMoved", () => {
     const log = new ModelLog();
     const fold = new OfferingsFold();
     readAll(fold, log);
@@ -239,7 +239,7 @@
     assert.not(fold.offerings.findAdapter("b"));
 });
 
-test("an apply that is appended twice, since its first answer was lost, is in force once", () => {
+test("an apply that is appended twice, because the first response was lost, takes effect once", () => {
     const log = new ModelLog();
     const fold = new OfferingsFold();
     readAll(fold, log);
@@ -251,7 +251,7 @@
     assert.is(fold.findOutcome("only")?.accepted, true);
 });
 
-test("a reader that starts after records were trimmed knows nothing until a snapshot covers them", () => {
+test("a reader that starts after records were trimmed knows no version until a snapshot covers them", () => {
     const log = new ModelLog();
     const writer = new OfferingsFold();
     readAll(writer, log);
@@ -268,19 +268,19 @@
     assert.is(late.offerings.digest, writer.offerings.digest);
 });
 
-test("a change costs its own size: a hundred thousand adapters are not hashed again", () => {
+test("a change of one adapter reads only that entry, and does not hash a hundred thousand others again", () => {
     const state = new OfferingsState();
     const set = Array.from({ length: 100_000 }, (_, index) => createAdapterChange(`adapter-${index}`, "1").set[0]!);
     state.applyChange({ set, remove: [] });
     let hashed = 0;
     const change = createAdapterChange("adapter-5", "2");
-    const counting: Change = {
+    const countingChange: Change = {
         set: change.set.map(entry =>
             new Proxy(entry, { get: (target, key) => (hashed++, Reflect.get(target, key) as unknown) })
         ),
         remove: [],
     };
-    state.applyChange(counting);
+    state.applyChange(countingChange);
     assert.ok(hashed < 20, `${hashed} reads`);
     assert.equal(state.findAdapter("adapter-5")?.versions, ["2"]);
 });
--- a/packages/protocol/src/sync.ts
+++ b/packages/protocol/src/sync.ts
@@ -1,7 +1,7 @@
 import {
     type AcceptedChange,
     type Entry,
-    maxKeptEntries,
+    maxRetainedEntries,
     type OfferingsFold,
     type WholeVersion,
 } from "@radishreel/offerings";
@@ -47,7 +47,7 @@
             return [];
         }
         const changes = want.isWhole ? undefined : this.fold.listChangesAfter(want.version);
-        if (changes !== undefined && countEntries(changes) <= maxKeptEntries) {
+        if (changes !== undefined && countEntries(changes) <= maxRetainedEntries) {
             return [{ type: "changes", changes }];
         }
         return createParts(this.fold.readWhole());
