--- a/packages/tokens/src/issuer.ts
+++ b/packages/tokens/src/issuer.ts
@@ -2,11 +2,13 @@
 
 /** Options of {@link TokenIssuer}. */
 export interface TokenIssuerOptions {
+    /** Key that signs the tokens. */
     readonly secret: string;
+    /** Incarnation of this gateway. */
     readonly issuer: string;
-    /** Where other gateways reach this one. */
+    /** `host:port` at which other gateways reach this gateway. */
     readonly address: string;
-    /** How long a token lives, in milliseconds. @default 3600000 */
+    /** Lifetime of a token, in milliseconds. @default 3600000 */
     readonly lifeMs?: number;
 }
 
@@ -21,7 +23,7 @@
         this.lifeMs = options.lifeMs ?? defaultLifeMs;
     }
 
-    /** New tokens for a customer, and when they expire. */
+    /** New tokens for a client account, and their expiry time in milliseconds since 1970. */
     createTokens(customer: string, count: number, now: number): { tokens: string[]; expiresAt: number; } {
         const { secret, issuer, address } = this.options;
         const expiresAt = now + this.lifeMs;
--- a/packages/tokens/src/ledger.ts
+++ b/packages/tokens/src/ledger.ts
@@ -1,13 +1,16 @@
 import type { LedgerRecord, TokenOutcome } from "./record.js";
 
-/** What a caller who shows a token may do. */
+/** Result of claiming a token. */
 export type TokenClaim =
-    /** The request may be dispatched, now and never again unless it is proved not to have run. */
+    /** The request may be dispatched once; again only after it is known not to have run. */
     | { readonly kind: "granted"; }
+    /** The token's request is running. */
     | { readonly kind: "inUse"; }
+    /** The token's request has ended. */
     | { readonly kind: "spent"; readonly outcome: TokenOutcome; }
-    /** The token was used for another request. */
+    /** The token was claimed for another request. */
     | { readonly kind: "mismatch"; }
+    /** The token has expired, or its ledger was handed over. */
     | { readonly kind: "expired"; };
 
 interface LedgerEntry {
@@ -19,34 +22,35 @@
 /** Options of {@link TokenLedger}. */
 export interface TokenLedgerOptions {
     readonly issuer: string;
-    /** Largest answer that is kept, in bytes. @default 65536 */
-    readonly maxAnswerBytes?: number;
-    /** Most bytes of answers that are kept; the oldest are let go first. @default 16777216 */
-    readonly maxKeptBytes?: number;
+    /** Largest response that is stored, in bytes. @default 65536 */
+    readonly maxResponseBytes?: number;
+    /** Total size of the stored responses, in bytes; the oldest are discarded first. @default 16777216 */
+    readonly maxStoredBytes?: number;
 }
 
-/** Greatest difference between the clocks of a gateway and its heir, in milliseconds. */
+/** Largest clock difference between a gateway and the handover target of its ledger, in milliseconds. */
 export const maxClockSkewMs = 600_000;
 
-const defaultMaxAnswerBytes = 64 * 1024;
-const defaultMaxKeptBytes = 16 * 1024 * 1024;
+const defaultMaxResponseBytes = 64 * 1024;
+const defaultMaxStoredBytes = 16 * 1024 * 1024;
 
 /**
- * What became of the tokens of one issuer. There is one ledger for each issuer at any time: in the gateway that issued
- * them, or in the one heir to which a stopping gateway handed it. See docs/design/at-most-once.md.
+ * Outcomes of the claimed tokens of one issuer. At any time, each issuer has one ledger: in the gateway that issued the
+ * tokens, or in the handover target to which the issuer sent the ledger when it stopped. See
+ * docs/design/at-most-once.md.
  */
 export class TokenLedger {
     readonly issuer: string;
     private readonly entries = new Map<number, LedgerEntry>();
-    private readonly maxAnswerBytes: number;
-    private readonly maxKeptBytes: number;
-    private keptBytes = 0;
+    private readonly maxResponseBytes: number;
+    private readonly maxStoredBytes: number;
+    private storedBytes = 0;
     private isSealed = false;
 
     constructor(options: TokenLedgerOptions) {
         this.issuer = options.issuer;
-        this.maxAnswerBytes = options.maxAnswerBytes ?? defaultMaxAnswerBytes;
-        this.maxKeptBytes = options.maxKeptBytes ?? defaultMaxKeptBytes;
+        this.maxResponseBytes = options.maxResponseBytes ?? defaultMaxResponseBytes;
+        this.maxStoredBytes = options.maxStoredBytes ?? defaultMaxStoredBytes;
     }
 
     get size(): number {
@@ -54,8 +58,8 @@
     }
 
     /**
-     * Claims the one run of a token.
-     * @param digest Digest of the request, so that a token serves one request only.
+     * Claims the single run of a token.
+     * @param digest Digest of the request; a token is valid for one request only.
      */
     claim(sequence: number, digest: string, expiresAt: number, now: number): TokenClaim {
         const entry = this.entries.get(sequence);
@@ -63,39 +67,39 @@
             return readClaim(entry, digest);
         }
         if (this.isSealed || now >= expiresAt) {
-            // A token used before its expiry may be forgotten after it, so that this says nothing about running.
+            // The entry of a claimed token may have been removed after expiry, so "expired" does not imply "not run".
             return { kind: "expired" };
         }
         this.entries.set(sequence, { digest, expiresAt, outcome: undefined });
         return { kind: "granted" };
     }
 
-    /** Gives a claim back: its request was proved not to have run, and the caller may show the token again. */
+    /** Releases a claim whose request is known not to have run; the caller may use the token again. */
     release(sequence: number): void {
         this.entries.delete(sequence);
     }
 
-    /** Records how the run ended. */
+    /** Records the outcome of the run. */
     recordOutcome(sequence: number, outcome: TokenOutcome): void {
         const entry = this.entries.get(sequence);
         if (entry === undefined) {
             return;
         }
         entry.outcome = this.resolveOutcome(outcome);
-        this.removeOldAnswers();
+        this.removeOldResponses();
     }
 
-    /** Forgets what has expired, later than any gateway whose clock is behind could still take its token. */
+    /** Removes ended entries whose tokens have expired even by a clock that is `maxClockSkewMs` behind. */
     expire(now: number): void {
         for (const [sequence, entry] of this.entries) {
             if (now >= entry.expiresAt + maxClockSkewMs && entry.outcome !== undefined) {
-                this.keptBytes -= readAnswerBytes(entry.outcome);
+                this.storedBytes -= readResponseBytes(entry.outcome);
                 this.entries.delete(sequence);
             }
         }
     }
 
-    /** Ends this ledger for good and returns what its heir needs. Nothing runs any more when it is called. */
+    /** Seals this ledger permanently and returns the record to hand over. No request may run when it is called. */
     seal(until: number): LedgerRecord {
         this.isSealed = true;
         const entries = [...this.entries].map(([sequence, { digest, expiresAt, outcome }]) => ({
@@ -107,30 +111,30 @@
         return { issuer: this.issuer, until, entries };
     }
 
-    /** Takes over the ledger of an issuer that has stopped. */
+    /** Adopts the entries of an issuer that has stopped. */
     adopt(record: LedgerRecord): void {
         for (const { sequence, digest, expiresAt, outcome } of record.entries) {
             this.entries.set(sequence, { digest, expiresAt, outcome: this.resolveOutcome(outcome) });
         }
-        this.removeOldAnswers();
+        this.removeOldResponses();
     }
 
     private resolveOutcome(outcome: TokenOutcome): TokenOutcome {
-        const bytes = readAnswerBytes(outcome);
-        if (outcome.kind === "complete" && bytes > this.maxAnswerBytes) {
+        const bytes = readResponseBytes(outcome);
+        if (outcome.kind === "complete" && bytes > this.maxResponseBytes) {
             return { kind: "complete", answer: undefined };
         }
-        this.keptBytes += bytes;
+        this.storedBytes += bytes;
         return outcome;
     }
 
-    private removeOldAnswers(): void {
+    private removeOldResponses(): void {
         for (const entry of this.entries.values()) {
-            if (this.keptBytes <= this.maxKeptBytes) {
+            if (this.storedBytes <= this.maxStoredBytes) {
                 return;
             }
             if (entry.outcome?.kind === "complete" && entry.outcome.answer !== undefined) {
-                this.keptBytes -= readAnswerBytes(entry.outcome);
+                this.storedBytes -= readResponseBytes(entry.outcome);
                 entry.outcome = { kind: "complete", answer: undefined };
             }
         }
@@ -142,7 +146,7 @@
     verdict: { kind: "mayHaveRun", reason: "issuerGone", detail: "the gateway stopped while the request ran" },
 };
 
-function readAnswerBytes(outcome: TokenOutcome): number {
+function readResponseBytes(outcome: TokenOutcome): number {
     return outcome.kind === "complete" ? outcome.answer?.body.length ?? 0 : 0;
 }
 
--- a/packages/tokens/src/record.ts
+++ b/packages/tokens/src/record.ts
@@ -1,17 +1,17 @@
 import { reasons } from "@radishreel/verdict";
 import { z } from "zod";
 
-/** An answer that is kept for a caller that lost it. */
-export const keptAnswerSchema = z.strictObject({
+/** A response that is stored for a caller that did not receive it. */
+export const storedResponseSchema = z.strictObject({
     status: z.number().int(),
     contentType: z.string(),
     body: z.custom<Uint8Array>(value => value instanceof Uint8Array),
 });
 
-/** How the one run of a token's request ended. */
+/** Outcome of the single run of a token's request. */
 export const tokenOutcomeSchema = z.discriminatedUnion("kind", [
-    /** The whole answer was received. It is kept if it was small enough. */
-    z.strictObject({ kind: z.literal("complete"), answer: keptAnswerSchema.optional() }),
+    /** The complete response was received. It is stored if it is small enough. */
+    z.strictObject({ kind: z.literal("complete"), answer: storedResponseSchema.optional() }),
     z.strictObject({
         kind: z.literal("mayHaveRun"),
         verdict: z.strictObject({
@@ -23,10 +23,10 @@
     }),
 ]);
 
-/** A ledger as it is handed over by a gateway that stops. */
+/** A ledger as handed over by a gateway that stops. */
 export const ledgerRecordSchema = z.strictObject({
     issuer: z.string(),
-    /** Every token of the issuer has expired by then, in milliseconds since 1970. */
+    /** Time by which every token of the issuer has expired, in milliseconds since 1970. */
     until: z.number(),
     entries: z.array(z.strictObject({
         sequence: z.number().int(),
@@ -36,8 +36,8 @@
     })),
 });
 
-/** See {@link keptAnswerSchema}. */
-export type KeptAnswer = z.infer<typeof keptAnswerSchema>;
+/** See {@link storedResponseSchema}. */
+export type StoredResponse = z.infer<typeof storedResponseSchema>;
 /** See {@link tokenOutcomeSchema}. */
 export type TokenOutcome = z.infer<typeof tokenOutcomeSchema>;
 /** See {@link ledgerRecordSchema}. */
--- a/packages/tokens/src/token.ts
+++ b/packages/tokens/src/token.ts
@@ -2,19 +2,19 @@
 import { err, ok, type Result } from "neverthrow";
 import { createHmac, timingSafeEqual } from "node:crypto";
 
-/** Most characters of a token that is looked at. */
+/** Longest token text that is parsed, in characters; a longer text is cut. */
 const maxTokenLength = 1024;
 
-/** What a request token says. */
+/** Contents of a request token. */
 export interface RequestToken {
-    /** Incarnation of the gateway that issued it: the only one that may dispatch its request. */
+    /** Incarnation of the gateway that issued the token, the only one that may dispatch the token's request. */
     readonly issuer: string;
-    /** Where that gateway is reached by other gateways, `host:port`. */
+    /** `host:port` at which other gateways reach the issuer. */
     readonly address: string;
-    /** Different for each token of an issuer. */
+    /** Unique among the tokens of an issuer. */
     readonly sequence: number;
     readonly customer: string;
-    /** Milliseconds since 1970 by the issuer's clock; only the issuer judges it. */
+    /** Expiry time by the issuer's clock, in milliseconds since 1970; checked by the issuer only. */
     readonly expiresAt: number;
 }
 
@@ -22,16 +22,16 @@
     return createHmac("sha256", secret).update(`request-token:${payload}`).digest();
 }
 
-/** The token's text: its members, and a signature that only the deployment's own processes can make. */
+/** Formats a token: its members, and a signature that only processes with the deployment's secret can create. */
 export function formatToken(secret: string, token: RequestToken): string {
     const { issuer, address, sequence, customer, expiresAt } = token;
     const payload = Buffer.from(JSON.stringify([issuer, address, sequence, customer, expiresAt])).toString("base64url");
     return `${payload}.${createSignature(secret, payload).toString("base64url")}`;
 }
 
-/** Reads a token's text. One that this deployment did not issue can never have run anything. */
+/** Parses a token's text. The error is a refusal: no request can have run with a token of another deployment. */
 export function parseToken(secret: string, text: string): Result<RequestToken, RefusedVerdict> {
-    const malformed = createRefused("malformedRequestToken", "this deployment did not issue that request token");
+    const malformed = createRefused("malformedRequestToken", "this deployment did not issue the request token");
     const [payload, signature, ...rest] = text.slice(0, maxTokenLength).split(".");
     if (payload === undefined || signature === undefined || rest.length > 0) {
         return err(malformed);
