--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -6,54 +6,54 @@
 const countSchema = z.number().int().nonnegative();
 const versionSchema = z.number().int().min(-1);
 
-/** Requests of one class that wait for a model. */
+/** Requests of one class that are waiting for a model. */
 export const waitingSchema = z.strictObject({
     count: countSchema,
-    /** Sum of the time they have waited, in milliseconds, when the message was made. */
+    /** Total waiting time of these requests when the message was created, in milliseconds. */
     ageMs: z.number().nonnegative(),
 });
 
-/** What is left out of a message counts as nobody waiting. */
-const noneWaiting = { count: 0, ageMs: 0 };
+/** Default for a class that a message omits. */
+const noWaitingRequests = { count: 0, ageMs: 0 };
 
 /**
- * What one gateway wants of one model. Counts are absolute, arrivals are since the last message; what is zero is left
- * out, since most models are only counted.
+ * Demand of one gateway for one model. Counts are absolute; arrivals are those since the last message. Zero values are
+ * omitted to keep messages small, because most models have arrivals only.
  */
 export const modelDemandSchema = z.strictObject({
     model: modelSchema,
-    paying: waitingSchema.default(noneWaiting),
-    trial: waitingSchema.default(noneWaiting),
+    paying: waitingSchema.default(noWaitingRequests),
+    trial: waitingSchema.default(noWaitingRequests),
     payingArrivals: countSchema.default(0),
     trialArrivals: countSchema.default(0),
 });
 
-/** Uses of a model on an engine: requests that run, or may still run. */
-export const useSchema = z.strictObject({
+/** Requests for a model that are running, or may still be running, on an engine. */
+export const modelUseSchema = z.strictObject({
     engineId: idSchema,
     model: modelSchema,
     paying: countSchema,
     trial: countSchema,
 });
 
-/** One engine as an owner leases it to a gateway. */
+/** An engine that an owner leases to a gateway. */
 export const engineGrantSchema = z.strictObject({
     id: idSchema,
     address: z.string(),
-    /** Names the engine's process; another value is a cold start. */
+    /** Identifies the engine's process; a new value means that the engine has restarted without loaded adapters. */
     instance: z.string(),
-    /** Fencing token of the owner. A gateway follows the highest. */
+    /** Fencing token of the owner. A gateway obeys the owner with the highest token. */
     fence: countSchema,
     batchRoom: countSchema,
     isLeaving: z.boolean(),
-    /** Models whose use is leased. */
+    /** Models that the gateway may use on the engine. */
     models: z.array(modelSchema),
 });
 
-/** Requests on one engine, over all gateways, as its owner last heard. */
+/** Requests on an engine over all gateways, by the latest renewals that its owner has received. */
 export const engineCountsSchema = z.strictObject({ id: idSchema, paying: countSchema, trial: countSchema });
 
-/** One engine as its owner sees it, for the placer. */
+/** State of an engine, as its owner reports it to the placer. */
 export const engineSummarySchema = z.strictObject({
     id: idSchema,
     slots: countSchema,
@@ -67,7 +67,7 @@
     })),
 });
 
-/** One upstream of a plain service. */
+/** An upstream of a plain service. */
 export const serviceUpstreamSchema = z.strictObject({
     id: idSchema,
     address: z.string(),
@@ -75,61 +75,62 @@
     isLeaving: z.boolean(),
 });
 
-/** Gateway to owner: renews every lease it holds from that owner, and says what it uses. */
+/** Gateway to owner: renews every lease that the gateway holds from this owner, and reports its uses. */
 const renewSchema = z.strictObject({
     type: z.literal("renew"),
     sequence: countSchema,
-    /** Version of the last grant that it has applied. */
+    /** Version of the last grant that the gateway has applied. */
     grantVersion: countSchema,
     offeringsVersion: versionSchema,
-    uses: z.array(useSchema),
-    /** Uses that ended without the engine's word for it. */
-    unsure: z.array(useSchema),
+    uses: z.array(modelUseSchema),
+    /** Uses that ended at the gateway without the engine's confirmation. */
+    unsure: z.array(modelUseSchema),
 });
 
-/** Owner to gateway: answers a renewal. `engines` is left out where the grant has not changed. */
+/** Owner to gateway: reply to a renewal. `engines` is omitted if the grant has not changed. */
 const grantSchema = z.strictObject({
     type: z.literal("grant"),
     sequence: countSchema,
     version: countSchema,
     leaseMs: z.number().positive(),
     engines: z.array(engineGrantSchema).optional(),
-    /** Counts that have changed since the gateway was last told. */
+    /** Counts that have changed since they were last sent to the gateway. */
     counts: z.array(engineCountsSchema).optional(),
 });
 
+/** Gateway to placer: changes of the gateway's demand. */
 const demandSchema = z.strictObject({
     type: z.literal("demand"),
     gateway: idSchema,
     changes: z.array(modelDemandSchema),
 });
 
-/** Placer to gateways: how long a load that is asked for now would wait. */
+/** Placer to gateways: expected waiting time of an adapter load that is requested now. */
 const outlookSchema = z.strictObject({
     type: z.literal("outlook"),
     payingWaitMs: z.number().nonnegative(),
     trialWaitMs: z.number().nonnegative(),
     loadMs: z.number().nonnegative(),
-    /** Model that is being loaded now. */
+    /** Model that is being loaded. */
     loading: modelSchema.optional(),
 });
 
 const servicesSchema = z.strictObject({ type: z.literal("services"), upstreams: z.array(serviceUpstreamSchema) });
 const agentsSchema = z.strictObject({ type: z.literal("agents"), addresses: z.array(z.string()) });
 
-/** Anyone to anyone: an upstream leaves. */
+/** Any process to any other: an upstream is leaving. */
 const leavingSchema = z.strictObject({
     type: z.literal("leaving"),
     upstreamId: idSchema,
     instance: z.string().optional(),
 });
 
-/** Placer to gateways and agents of its data centre: it has just become responsible, and must be told everything. */
+/** New placer to the gateways and agents of its data centre: requests their complete state. */
 const askStateSchema = z.strictObject({ type: z.literal("askState") });
 
 const engineSummariesSchema = z.strictObject({ type: z.literal("engines"), engines: z.array(engineSummarySchema) });
 
-/** Placer to owner: evict `evict` if given, or load `model`. */
+/** Placer to owner: load or evict `model` on the engine. */
 const orderSchema = z.strictObject({
     type: z.literal("order"),
     action: z.enum(["load", "evict"]),
@@ -144,14 +145,14 @@
     outcome: z.enum(["loaded", "failed", "refused"]),
 });
 
-/** Placer to the placers of other data centres: whether it can use its share of the weight store. */
+/** Placer to the placers of other data centres: whether it can use its data centre's share of the weight store. */
 const storeShareSchema = z.strictObject({
     type: z.literal("storeShare"),
     dataCentre: z.string(),
     isWanting: z.boolean(),
 });
 
-/** Which offerings the sender has; sent when a link opens and after every change. */
+/** Version of the offerings that the sender has; sent when a link opens and after every change. */
 const haveSchema = z.strictObject({
     type: z.literal("have"),
     version: versionSchema,
@@ -159,6 +160,7 @@
     hasGap: z.boolean(),
 });
 
+/** Requests the changes after `version`, or the complete version. */
 const wantSchema = z.strictObject({ type: z.literal("want"), version: versionSchema, isWhole: z.boolean() });
 
 const changesSchema = z.strictObject({
@@ -172,7 +174,7 @@
     })),
 });
 
-/** One part of a whole version; parts arrive in order. */
+/** A part of a complete version; parts arrive in order. */
 const wholePartSchema = z.strictObject({
     type: z.literal("wholePart"),
     version: versionSchema,
@@ -183,7 +185,7 @@
     entries: z.array(entrySchema),
 });
 
-/** How far the nodes of a data centre are with the offerings. */
+/** Versions of the offerings that the nodes of a data centre have. */
 const progressSchema = z.strictObject({
     type: z.literal("progress"),
     dataCentre: z.string(),
@@ -193,25 +195,25 @@
     behind: z.array(idSchema),
 });
 
-/** The sender is stopping: it owns nothing any more. */
-/** Agent to placer: what is known of a model. */
+/** Agent to placer: request for an explanation of a model's state. */
 const explainSchema = z.strictObject({ type: z.literal("explain"), requestId: idSchema, model: modelSchema });
 
-/** Placer to agent: the answer to `explain`. */
+/** Placer to agent: reply to `explain`. */
 const explainedSchema = z.strictObject({ type: z.literal("explained"), requestId: idSchema, explanation: z.unknown() });
 
-/** Gateways that others may forward to and hand over to, by what their tokens name them. */
+/** Gateways to which others may forward requests and hand over ledgers, by the issuer named in their tokens. */
 const gatewaysSchema = z.strictObject({
     type: z.literal("gateways"),
     gateways: z.array(z.strictObject({ issuer: idSchema, address: z.string() })),
 });
 
-/** Who answers for the request tokens of gateways that have stopped. */
+/** Gateways that took over the token ledgers of gateways that have stopped. */
 const heirsSchema = z.strictObject({
     type: z.literal("heirs"),
     heirs: z.array(z.strictObject({ issuer: idSchema, address: z.string(), until: countSchema })),
 });
 
+/** The sender is stopping and owns no engine any more. */
 const byeSchema = z.strictObject({ type: z.literal("bye") });
 
 /** Every message between gateways and agents, as it is received. */
@@ -242,7 +244,7 @@
 
 /** See {@link messageSchema}. */
 export type Message = z.infer<typeof messageSchema>;
-/** A message as it is sent: what has a default may be left out. */
+/** A message as it is sent; members with a default may be omitted. */
 export type OutgoingMessage = z.input<typeof messageSchema>;
 /** One kind of {@link Message}. */
 export type MessageOf<Type extends Message["type"]> = Extract<Message, { type: Type; }>;
@@ -256,5 +258,5 @@
 export type EngineSummary = z.infer<typeof engineSummarySchema>;
 /** See {@link serviceUpstreamSchema}. */
 export type ServiceUpstream = z.infer<typeof serviceUpstreamSchema>;
-/** See {@link useSchema}. */
-export type Use = z.infer<typeof useSchema>;
+/** See {@link modelUseSchema}. */
+export type Use = z.infer<typeof modelUseSchema>;
--- a/packages/protocol/src/sync.ts
+++ b/packages/protocol/src/sync.ts
@@ -7,26 +7,26 @@
 } from "@radishreel/offerings";
 import type { Message, MessageOf } from "./messages.js";
 
-/** Entries in one part of a whole version: far below the largest frame. */
+/** Number of entries in one part of a complete version; keeps a part far below the largest frame size. */
 const entriesPerPart = 2000;
 
 function countEntries(changes: readonly AcceptedChange[]): number {
     return changes.reduce((total, { change }) => total + change.set.length + change.remove.length, 0);
 }
 
-/** One side's part in keeping two processes at the same offerings. One instance for each link. */
+/** One side of the synchronization of offerings between two processes. One instance per link. */
 export class OfferingsSync {
     private parts: Entry[] = [];
 
     constructor(private readonly fold: OfferingsFold) {}
 
-    /** What to tell the peer when the link opens and after every change here. */
+    /** Message to send to the peer when the link opens and after every change of the offerings here. */
     createHave(): MessageOf<"have"> {
         const { version, isKnown, hasGap } = this.fold;
         return { type: "have", version, isKnown, hasGap };
     }
 
-    /** What to ask of a peer that has what is missing here. */
+    /** Reply to the peer's `have`: a `want` if the peer has a version that this side lacks, or can close its gap. */
     receiveHave(have: MessageOf<"have">): Message | undefined {
         if (!have.isKnown) {
             return undefined;
@@ -41,7 +41,7 @@
         return undefined;
     }
 
-    /** What to send to a peer that asks. */
+    /** Reply to the peer's `want`: the changes if their chain is short and retained, else the complete version. */
     receiveWant(want: MessageOf<"want">): Message[] {
         if (!this.fold.isKnown) {
             return [];
@@ -53,7 +53,7 @@
         return createParts(this.fold.readWhole());
     }
 
-    /** Folds a chain of changes. Returns whether anything changed. */
+    /** Folds a chain of changes. Returns whether the offerings changed. */
     receiveChanges(message: MessageOf<"changes">): boolean {
         let changed = false;
         for (const change of message.changes) {
@@ -62,7 +62,7 @@
         return changed;
     }
 
-    /** Collects a whole version and folds it with its last part. Returns whether anything changed. */
+    /** Collects the parts of a complete version and folds it after the last part. Returns whether it was applied. */
     receivePart(message: MessageOf<"wholePart">): boolean {
         if (message.part === 0) {
             this.parts = [];
--- a/packages/protocol/test/protocol.test.ts
+++ b/packages/protocol/test/protocol.test.ts
@@ -4,21 +4,22 @@
 import * as assert from "uvu/assert";
 import { type Message, messageSchema, OfferingsSync, type OutgoingMessage } from "../src/index.js";
 
-/** The letter's limit on control, in bytes a second a node, and the shape of a data centre at its size. */
-const limitPerSecond = 8000;
+/** Limit on control traffic, in bytes per second per node. */
+const controlLimitBytesPerSecond = 8000;
+/** Size of the simulated data centre. */
 const gateways = 23;
 const agents = 23;
 const enginesPerAgent = 8;
 const linksToOtherDataCentres = 60;
 
-/** Bytes a second that docs/CAPACITY.md gives for leases and counts under load. */
-const capacityUnderLoad = 15_500;
+/** Bytes per second of leases and counts under load, from docs/CAPACITY.md. */
+const loadCapacityBytesPerSecond = 15_500;
 
-function readSize(message: OutgoingMessage | { type: "heartbeat"; }): number {
+function readFrameBytes(message: OutgoingMessage | { type: "heartbeat"; }): number {
     return encodeFrame(message).length;
 }
 
-const renewAtRest: OutgoingMessage = {
+const idleRenewal: OutgoingMessage = {
     type: "renew",
     sequence: 100_000,
     grantVersion: 1000,
@@ -26,16 +27,16 @@
     uses: [],
     unsure: [],
 };
-const grantAtRest: OutgoingMessage = { type: "grant", sequence: 100_000, version: 1000, leaseMs: 3000 };
+const idleGrant: OutgoingMessage = { type: "grant", sequence: 100_000, version: 1000, leaseMs: 3000 };
 
-test("what an agent and its gateways and peers say at rest stays within the limit on control", () => {
-    const heartbeats = 2 * readSize({ type: "heartbeat" });
-    const perSecond = gateways * (readSize(renewAtRest) + readSize(grantAtRest))
+test("an agent's traffic with idle gateways and peers stays within the limit on control traffic", () => {
+    const heartbeats = 2 * readFrameBytes({ type: "heartbeat" });
+    const perSecond = gateways * (readFrameBytes(idleRenewal) + readFrameBytes(idleGrant))
         + (agents - 1 + linksToOtherDataCentres) * heartbeats;
-    assert.ok(perSecond < limitPerSecond, `${perSecond} bytes a second`);
+    assert.ok(perSecond < controlLimitBytesPerSecond, `${perSecond} bytes a second`);
 });
 
-test("what is said of requests under load is no more than docs/CAPACITY.md says, which is over the limit", () => {
+test("lease and count messages under load stay within the figure of docs/CAPACITY.md, which exceeds the limit", () => {
     const uses = Array.from(
         { length: enginesPerAgent },
         (_, index) => ({ engineId: `engine-${index}`, model: `adapter-${index}@1`, paying: 1, trial: 0 }),
@@ -44,13 +45,13 @@
         { length: enginesPerAgent },
         (_, index) => ({ id: `engine-${index}`, paying: 10, trial: 3 }),
     );
-    // One use on each of the agent's engines from each gateway; counts go with every second renewal.
-    const grants = (readSize({ ...grantAtRest, counts }) + readSize(grantAtRest)) / 2;
-    const perSecond = gateways * (readSize({ ...renewAtRest, uses }) + grants);
-    assert.ok(perSecond < capacityUnderLoad, `${perSecond} bytes a second`);
+    // Each gateway has one use on each of the agent's engines; every second grant carries counts.
+    const grants = (readFrameBytes({ ...idleGrant, counts }) + readFrameBytes(idleGrant)) / 2;
+    const perSecond = gateways * (readFrameBytes({ ...idleRenewal, uses }) + grants);
+    assert.ok(perSecond < loadCapacityBytesPerSecond, `${perSecond} bytes a second`);
 });
 
-test("what is zero is left out of demand, and read as nobody waiting", () => {
+test("demand messages omit zero values, which are parsed as no waiting requests", () => {
     const sparse: OutgoingMessage = { type: "demand", gateway: "g#1", changes: [{ model: "a@1", payingArrivals: 2 }] };
     const read = messageSchema.parse(sparse);
     assert.ok(read.type === "demand");
@@ -61,7 +62,7 @@
         payingArrivals: 2,
         trialArrivals: 0,
     });
-    assert.ok(readSize(sparse) < 70);
+    assert.ok(readFrameBytes(sparse) < 70);
 });
 
 function createEntry(name: string): Entry {
@@ -88,7 +89,7 @@
     return fold;
 }
 
-/** Carries messages between two sides until neither has more to say. */
+/** Runs one exchange of have, want and the reply; returns the types of the reply's messages. */
 function runSync(from: OfferingsFold, to: OfferingsFold): Message["type"][] {
     const sender = new OfferingsSync(from);
     const receiver = new OfferingsSync(to);
@@ -109,23 +110,23 @@
     return types;
 }
 
-const small = ["a", "b", "c"].map(name => ({ set: [createEntry(name)], remove: [] }));
+const smallChanges = ["a", "b", "c"].map(name => ({ set: [createEntry(name)], remove: [] }));
 
 test("a peer that is a few changes behind is sent those changes", () => {
-    const to = createFold(small.slice(0, 1));
-    assert.equal(runSync(createFold(small), to), ["changes"]);
+    const to = createFold(smallChanges.slice(0, 1));
+    assert.equal(runSync(createFold(smallChanges), to), ["changes"]);
     assert.equal([to.version, to.offerings.size.adapters], [2, 3]);
 });
 
-test("a peer that knows nothing is sent the whole, in parts", () => {
+test("a peer that knows no version is sent the complete version in parts", () => {
     const large = { set: Array.from({ length: 4500 }, (_, index) => createEntry(`adapter-${index}`)), remove: [] };
     const to = new OfferingsFold();
     assert.equal(runSync(createFold([large]), to), ["wholePart", "wholePart", "wholePart"]);
     assert.equal([to.isKnown, to.version, to.offerings.size.adapters], [true, 0, 4500]);
 });
 
-test("a peer that is ahead, or that knows nothing itself, is asked for nothing", () => {
-    assert.equal(runSync(createFold(small.slice(0, 1)), createFold(small)), []);
+test("a peer that is behind, or knows no version, is sent no want", () => {
+    assert.equal(runSync(createFold(smallChanges.slice(0, 1)), createFold(smallChanges)), []);
     assert.equal(runSync(new OfferingsFold(), new OfferingsFold()), []);
 });
 
