--- a/packages/membership/src/owners.ts
+++ b/packages/membership/src/owners.ts
@@ -1,6 +1,6 @@
 import murmurhash from "murmurhash";
 
-/** Weight of `node` for `key`: the same on every node that computes it. */
+/** Rendezvous weight of `node` for `key`. Every node computes the same weight. */
 function readWeight(key: string, node: string): number {
     return murmurhash.v3(`${node}|${key}`);
 }
@@ -12,7 +12,7 @@
     return weighed.map(({ node }) => node);
 }
 
-/** The first of {@link rankNodes}; undefined without nodes. */
+/** The first node of {@link rankNodes}, found without sorting; undefined without nodes. */
 export function findOwner(key: string, nodes: readonly string[]): string | undefined {
     let best: string | undefined;
     let bestWeight = -1;
--- a/packages/membership/src/upstreams.ts
+++ b/packages/membership/src/upstreams.ts
@@ -1,41 +1,41 @@
-/** What is known of one upstream VM. */
+/** An upstream VM. */
 export interface UpstreamVm {
     readonly id: string;
     readonly kind: "engine" | "service";
     readonly address: string;
     readonly dataCentre: string;
-    /** Services only: which one. */
+    /** Name of the service; set for services only. */
     readonly service?: string;
 }
 
-/** A VM as the platform's list gives it. */
+/** A VM in the platform's list. */
 export interface ListedVm extends UpstreamVm {
     readonly state: "live" | "leaving";
 }
 
-/** An upstream with what its last words said. */
+/** An upstream and whether it is leaving, by the platform's list or a leaving message. */
 export interface KnownUpstream extends UpstreamVm {
     readonly isLeaving: boolean;
 }
 
-interface Known {
+interface UpstreamEntry {
     vm: UpstreamVm;
-    /** Process that said it leaves; another process at the same place is a new upstream. */
+    /** Instance of the process that is leaving; a later process on the same VM is a new upstream. */
     leavingInstance: string | undefined;
     listedLeaving: boolean;
     instance: string | undefined;
 }
 
 /**
- * The upstreams of a data centre. The list of VMs seeds and confirms; a word that an upstream leaves counts from
- * whoever says it first, and is not taken back by a list that lags.
+ * The upstreams of a data centre. The platform's list adds and removes them. The first message that an upstream is
+ * leaving takes effect, whoever sends it; a list that lags behind does not revert it.
  */
 export class UpstreamDirectory {
-    private readonly known = new Map<string, Known>();
+    private readonly known = new Map<string, UpstreamEntry>();
 
     constructor(private readonly dataCentre: string) {}
 
-    /** Takes the platform's list. Returns whether anything changed. */
+    /** Applies the platform's list. Returns whether an upstream was added, replaced, removed or changed state. */
     receiveList(vms: readonly ListedVm[]): boolean {
         let changed = false;
         const present = new Set<string>();
@@ -55,7 +55,10 @@
         return changed;
     }
 
-    /** Takes a word that an upstream leaves. `instance` is the process it is about, where that is known. */
+    /**
+     * Records that an upstream is leaving. Returns whether this is new.
+     * @param instance The leaving process, if known.
+     */
     receiveLeaving(id: string, instance: string | undefined): boolean {
         const known = this.known.get(id);
         if (known === undefined || known.leavingInstance !== undefined) {
@@ -65,7 +68,10 @@
         return true;
     }
 
-    /** Takes an upstream's own word that it is live, with its instance. A new process ends an older one's leaving. */
+    /**
+     * Records an upstream's own report that its process `instance` is live. If a known earlier process was leaving, the
+     * upstream is live again. Returns whether that is the case.
+     */
     receiveLive(id: string, instance: string): boolean {
         const known = this.known.get(id);
         if (known === undefined) {
@@ -106,5 +112,5 @@
     }
 }
 
-/** Stands for a process that said it leaves before anybody learnt its instance. */
+/** Placeholder for a leaving process whose instance is unknown. */
 const unknownInstance = "";
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -5,14 +5,14 @@
 const nodes = Array.from({ length: 20 }, (_, index) => `agent-${index}`);
 const keys = Array.from({ length: 2000 }, (_, index) => `engine-${index}`);
 
-test("every node finds the same owner, whatever the order in which it knows the others", () => {
+test("every node finds the same owner, whatever the order of its node list", () => {
     for (const key of keys.slice(0, 100)) {
         assert.is(findOwner(key, nodes), findOwner(key, [...nodes].reverse()));
         assert.is(findOwner(key, nodes), rankNodes(key, nodes)[0]);
     }
 });
 
-test("a node that goes moves its own keys and no others", () => {
+test("a removed node moves its own keys and no others", () => {
     const without = nodes.slice(1);
     for (const key of keys) {
         const before = findOwner(key, nodes);
@@ -39,46 +39,54 @@
     return directory;
 }
 
-test("only upstreams of the own data centre are known", () => {
+test("the directory lists only upstreams of its own data centre", () => {
     assert.equal(createDirectory().list().map(upstream => upstream.id), ["engine"]);
 });
 
-/** What comes after somebody said that the upstream leaves, and whether it still counts as leaving. */
-const words: readonly { name: string; say: (directory: UpstreamDirectory) => void; isLeaving: boolean; }[] = [
+/** Events after a message that the upstream is leaving, and whether the upstream still counts as leaving. */
+const followingEvents: readonly {
+    name: string;
+    applyEvent: (directory: UpstreamDirectory) => void;
+    isLeaving: boolean;
+}[] = [
     {
-        name: "the list lags and says live",
-        say: directory => void directory.receiveList([createVm("live")]),
+        name: "the list still has the state live",
+        applyEvent: directory => void directory.receiveList([createVm("live")]),
         isLeaving: true,
     },
     {
-        name: "the same process says live",
-        say: directory => void directory.receiveLive("engine", "1"),
+        name: "the same process reports live",
+        applyEvent: directory => void directory.receiveLive("engine", "1"),
         isLeaving: true,
     },
-    { name: "a new process says live", say: directory => void directory.receiveLive("engine", "2"), isLeaving: false },
     {
-        name: "another VM has its name",
-        say: directory => void directory.receiveList([createVm("live", "127.0.0.1:2")]),
+        name: "a new process reports live",
+        applyEvent: directory => void directory.receiveLive("engine", "2"),
         isLeaving: false,
     },
     {
-        name: "the list says leaving too",
-        say: directory => void directory.receiveList([createVm("leaving")]),
+        name: "the list has another address for its id",
+        applyEvent: directory => void directory.receiveList([createVm("live", "127.0.0.1:2")]),
+        isLeaving: false,
+    },
+    {
+        name: "the list has the state leaving too",
+        applyEvent: directory => void directory.receiveList([createVm("leaving")]),
         isLeaving: true,
     },
 ];
 
-for (const { name, say, isLeaving } of words) {
-    test(`a leaving upstream ${isLeaving ? "still leaves" : "is back"} when ${name}`, () => {
+for (const { name, applyEvent, isLeaving } of followingEvents) {
+    test(`a leaving upstream ${isLeaving ? "stays leaving" : "becomes live"} when ${name}`, () => {
         const directory = createDirectory();
         assert.ok(directory.receiveLeaving("engine", undefined));
-        assert.not(directory.receiveLeaving("engine", "1"), "the second word is no news");
-        say(directory);
+        assert.not(directory.receiveLeaving("engine", "1"), "a repeated leaving message changed the directory");
+        applyEvent(directory);
         assert.is(directory.find("engine")?.isLeaving, isLeaving);
     });
 }
 
-test("an upstream that is not listed any more is forgotten", () => {
+test("an upstream that is removed from the list is removed from the directory", () => {
     const directory = createDirectory();
     assert.ok(directory.receiveList([]));
     assert.equal(directory.list(), []);
