--- a/packages/membership/src/upstreams.ts
+++ b/packages/membership/src/upstreams.ts
@@ -31,7 +31,7 @@
  * leaving takes effect, whoever sends it; a list that lags behind does not revert it.
  */
 export class UpstreamDirectory {
-    private readonly known = new Map<string, UpstreamEntry>();
+    private readonly entryById = new Map<string, UpstreamEntry>();
 
     constructor(private readonly dataCentre: string) {}
 
@@ -46,9 +46,9 @@
             present.add(vm.id);
             changed = this.receiveListed(vm) || changed;
         }
-        for (const id of this.known.keys()) {
+        for (const id of this.entryById.keys()) {
             if (!present.has(id)) {
-                this.known.delete(id);
+                this.entryById.delete(id);
                 changed = true;
             }
         }
@@ -60,7 +60,7 @@
      * @param instance The leaving process, if known.
      */
     receiveLeaving(id: string, instance: string | undefined): boolean {
-        const known = this.known.get(id);
+        const known = this.entryById.get(id);
         if (known === undefined || known.leavingInstance !== undefined) {
             return false;
         }
@@ -73,7 +73,7 @@
      * upstream is live again. Returns whether that is the case.
      */
     receiveLive(id: string, instance: string): boolean {
-        const known = this.known.get(id);
+        const known = this.entryById.get(id);
         if (known === undefined) {
             return false;
         }
@@ -87,7 +87,7 @@
     }
 
     list(): KnownUpstream[] {
-        return [...this.known.values()].map(known => ({
+        return [...this.entryById.values()].map(known => ({
             ...known.vm,
             isLeaving: known.listedLeaving || known.leavingInstance !== undefined,
         }));
@@ -99,10 +99,10 @@
 
     private receiveListed(listed: ListedVm): boolean {
         const { state, ...vm } = listed;
-        const known = this.known.get(vm.id);
+        const known = this.entryById.get(vm.id);
         const listedLeaving = state === "leaving";
         if (known === undefined || known.vm.address !== vm.address) {
-            this.known.set(vm.id, { vm, leavingInstance: undefined, listedLeaving, instance: undefined });
+            this.entryById.set(vm.id, { vm, leavingInstance: undefined, listedLeaving, instance: undefined });
             return true;
         }
         const changed = known.listedLeaving !== listedLeaving;
--- a/packages/offerings/src/fold.ts
+++ b/packages/offerings/src/fold.ts
@@ -25,7 +25,7 @@
 }
 
 /** A complete version of the offerings, as sent to peers. */
-export interface WholeVersion {
+export interface CompleteVersion {
     readonly version: number;
     /** Every record below this offset is folded into the version. */
     readonly asOf: number;
@@ -128,7 +128,7 @@
      * Applies a peer's complete version if it is newer than the version in force, or closes the gap with it. Returns
      * whether either happened.
      */
-    foldPeerVersion(whole: WholeVersion): boolean {
+    foldPeerVersion(whole: CompleteVersion): boolean {
         const isNewer = !this.isVersionKnown || whole.version > this.currentVersion;
         if (this.gap !== undefined) {
             return this.closeGap(whole) || (isNewer && this.setState(whole));
@@ -153,7 +153,7 @@
     }
 
     /** The complete version in force, for a peer. */
-    readWhole(): WholeVersion {
+    readCompleteVersion(): CompleteVersion {
         // A peer that starts from this version must still read the chunks of uncommitted records.
         const asOf = Math.min(this.gap?.start ?? this.next, this.chunks.findOldestOffset() ?? this.next);
         return {
@@ -173,7 +173,7 @@
         if (!this.isVersionKnown || this.gap !== undefined) {
             return undefined;
         }
-        return { kind: "snapshot", ...this.readWhole(), asOf: this.next, at };
+        return { kind: "snapshot", ...this.readCompleteVersion(), asOf: this.next, at };
     }
 
     /**
@@ -224,7 +224,7 @@
     }
 
     /** Closes the gap if `whole` covers it, and folds the records that `whole` does not include. */
-    private closeGap(whole: WholeVersion): boolean {
+    private closeGap(whole: CompleteVersion): boolean {
         const gap = this.gap;
         if (gap === undefined || whole.asOf < gap.end || gap.lastBroken >= whole.asOf) {
             return false;
@@ -292,7 +292,7 @@
         return outcome;
     }
 
-    private setState(whole: WholeVersion): boolean {
+    private setState(whole: CompleteVersion): boolean {
         // An older snapshot may still be read after a newer version was received from a peer.
         if (whole.version < this.currentVersion) {
             return false;
--- a/packages/offerings/src/index.ts
+++ b/packages/offerings/src/index.ts
@@ -4,10 +4,10 @@
 export {
     type AcceptedChange,
     type ApplyOutcome,
+    type CompleteVersion,
     maxRetainedEntries,
     OfferingsFold,
     type RejectionReason,
-    type WholeVersion,
 } from "./fold.js";
 export {
     type ApplyRecord,
--- a/packages/offerings/src/records.ts
+++ b/packages/offerings/src/records.ts
@@ -19,7 +19,7 @@
     /** Digest of all offerings after the change. */
     digest: z.string(),
     author: z.string().max(200),
-    /** When it was written, in milliseconds since 1970. */
+    /** Time of writing, in milliseconds since 1970. */
     at: z.number().int().nonnegative(),
     change: changeSchema,
 });
@@ -30,7 +30,7 @@
     version: z.number().int().min(emptyVersion),
     /** Every record below this offset is folded into the snapshot. */
     asOf: z.number().int().nonnegative(),
-    /** When it was written, in milliseconds since 1970. */
+    /** Time of writing, in milliseconds since 1970. */
     at: z.number().int().nonnegative(),
     digest: z.string(),
     entries: z.array(entrySchema),
--- a/packages/offerings/test/fold.test.ts
+++ b/packages/offerings/test/fold.test.ts
@@ -218,7 +218,7 @@
                 changes.forEach(change => fold.foldPeerChange(change));
             }
             else if (peer.isKnown) {
-                fold.foldPeerVersion(peer.readWhole());
+                fold.foldPeerVersion(peer.readCompleteVersion());
             }
             return;
         }
@@ -268,7 +268,7 @@
     assert.is(late.offerings.digest, writer.offerings.digest);
 });
 
-test("a change of one adapter reads only that entry, and does not hash a hundred thousand others again", () => {
+test("applying a change of one adapter does not hash the hundred thousand other adapters again", () => {
     const state = new OfferingsState();
     const set = Array.from({ length: 100_000 }, (_, index) => createAdapterChange(`adapter-${index}`, "1").set[0]!);
     state.applyChange({ set, remove: [] });
--- a/packages/protocol/src/sync.ts
+++ b/packages/protocol/src/sync.ts
@@ -1,9 +1,9 @@
 import {
     type AcceptedChange,
+    type CompleteVersion,
     type Entry,
     maxRetainedEntries,
     type OfferingsFold,
-    type WholeVersion,
 } from "@radishreel/offerings";
 import type { Message, MessageOf } from "./messages.js";
 
@@ -50,7 +50,7 @@
         if (changes !== undefined && countEntries(changes) <= maxRetainedEntries) {
             return [{ type: "changes", changes }];
         }
-        return createParts(this.fold.readWhole());
+        return createParts(this.fold.readCompleteVersion());
     }
 
     /** Folds a chain of changes. Returns whether the offerings changed. */
@@ -78,7 +78,7 @@
     }
 }
 
-function createParts(whole: WholeVersion): MessageOf<"wholePart">[] {
+function createParts(whole: CompleteVersion): MessageOf<"wholePart">[] {
     const { version, asOf, digest, entries } = whole;
     const parts: MessageOf<"wholePart">[] = [];
     for (let start = 0; start === 0 || start < entries.length; start += entriesPerPart) {
--- a/packages/tokens/src/ledger.ts
+++ b/packages/tokens/src/ledger.ts
@@ -1,7 +1,7 @@
 import type { LedgerRecord, TokenOutcome } from "./record.js";
 
 /** Result of claiming a token. */
-export type TokenClaim =
+export type TokenClaimResult =
     /** The request may be dispatched once; again only after it is known not to have run. */
     | { readonly kind: "granted"; }
     /** The token's request is running. */
@@ -61,10 +61,10 @@
      * Claims the single run of a token.
      * @param digest Digest of the request; a token is valid for one request only.
      */
-    claim(sequence: number, digest: string, expiresAt: number, now: number): TokenClaim {
+    claim(sequence: number, digest: string, expiresAt: number, now: number): TokenClaimResult {
         const entry = this.entries.get(sequence);
         if (entry !== undefined) {
-            return readClaim(entry, digest);
+            return readClaimResult(entry, digest);
         }
         if (this.isSealed || now >= expiresAt) {
             // The entry of a claimed token may have been removed after expiry, so "expired" does not imply "not run".
@@ -150,7 +150,7 @@
     return outcome.kind === "complete" ? outcome.answer?.body.length ?? 0 : 0;
 }
 
-function readClaim(entry: LedgerEntry, digest: string): TokenClaim {
+function readClaimResult(entry: LedgerEntry, digest: string): TokenClaimResult {
     if (entry.digest !== digest) {
         return { kind: "mismatch" };
     }
--- a/packages/tokens/test/tokens.test.ts
+++ b/packages/tokens/test/tokens.test.ts
@@ -35,7 +35,7 @@
     assert.is(new Set(tokens).size, 200);
 });
 
-test("a claim is granted once, and again only after the token is released", () => {
+test("a claim is granted once, and again only after it was released as not run", () => {
     const ledger = new TokenLedger({ issuer: "gateway#1" });
     assert.is(ledger.claim(1, "d", 1000, 0).kind, "granted");
     assert.is(ledger.claim(1, "d", 1000, 0).kind, "inUse");
--- a/packages/upstreams/src/exchange.ts
+++ b/packages/upstreams/src/exchange.ts
@@ -151,7 +151,7 @@
     onRequestStart(controller: Dispatcher.DispatchController): void {
         this.controller = controller;
         if (this.cancelReason !== undefined) {
-            // Cancelled while connecting: undici writes nothing after the abort.
+            // Cancelled while connecting: nothing has been written, and the abort prevents any write.
             controller.abort(new Error(this.cancelReason));
             return;
         }
--- a/packages/upstreams/src/stream.ts
+++ b/packages/upstreams/src/stream.ts
@@ -53,7 +53,11 @@
         if (this.firstEvent === undefined) {
             const isTooLong = this.heldBytes > maxHeldBytes;
             return isTooLong
-                ? { kind: "reject", reason: "malformedAnswer", detail: "the response starts without an event" }
+                ? {
+                    kind: "reject",
+                    reason: "malformedAnswer",
+                    detail: "no complete event at the start of the response",
+                }
                 : { kind: "held" };
         }
         return this.checkFirstEvent(this.firstEvent);
