--- a/packages/routing/src/accounts.ts
+++ b/packages/routing/src/accounts.ts
@@ -1,58 +1,58 @@
 import * as z from "zod";
 
-/** Longest key, in characters: a caller's headers may hold 16 KB in all. */
+/** Longest key, in characters; a caller's headers may hold 16 KB in total. */
 const maxKeyLength = 1024;
 
 /** Longest name of an account, in characters. */
 const maxNameLength = 256;
 
-/** What a quota counts. */
+/** Unit in which a quota counts. */
 export const quotaUnitSchema = z.enum(["requests", "tokens"]);
 
 /** See {@link quotaUnitSchema}. */
 export type QuotaUnit = z.infer<typeof quotaUnitSchema>;
 
-/** How much an account may use, over all VMs together. */
+/** Rate limit of an account, over all VMs together. */
 export const quotaSchema = z.object({
     unit: quotaUnitSchema,
     perSecond: z.number().positive(),
-    /** What may be used at once beyond that. */
+    /** Units that may be used at once beyond that rate. */
     burst: z.number().nonnegative(),
-    /** Cost of a request that tells no tokens, where tokens are counted. */
+    /** Cost of a request without a token count, if `unit` is tokens. */
     usualTokens: z.number().nonnegative(),
 });
 
 /** See {@link quotaSchema}. */
 export type Quota = z.infer<typeof quotaSchema>;
 
-/** A client account: its keys, and what its callers may use. */
+/** A client account: its keys, its priority and its quota. */
 export const accountSchema = z.object({
-    /** Sent to upstreams in a header. */
+    /** Upstreams receive the name in a header. */
     name: z.string().max(maxNameLength).regex(/^[\x21-\x7e]([\x20-\x7e]*[\x21-\x7e])?$/, "expected printable ASCII"),
     keys: z.array(z.string().min(1).max(maxKeyLength)),
-    /** 0 is the most urgent; it goes before the priority of a route. Undefined leaves that alone. */
+    /** 0 is the most urgent. Takes precedence over the priority of a route; if undefined, the route's priority applies. */
     priority: z.number().int().nonnegative().optional(),
-    /** Undefined if there is no limit. */
+    /** Undefined if the account has no limit. */
     quota: quotaSchema.optional(),
 });
 
 /** See {@link accountSchema}. */
 export type Account = z.infer<typeof accountSchema>;
 
-/** All accounts of a configuration: no name twice, and no key twice. */
+/** All accounts of a configuration; names and keys must be unique. */
 export const accountsSchema = z.array(accountSchema).superRefine((accounts, context) => {
     const names = new Set<string>();
     const holders = new Map<string, string>();
     for (const [index, { name, keys }] of accounts.entries()) {
         if (names.has(name)) {
-            context.addIssue({ code: "custom", path: [index, "name"], message: `account ${name} stands there twice` });
+            context.addIssue({ code: "custom", path: [index, "name"], message: `account ${name} is defined twice` });
         }
         names.add(name);
         for (const [keyIndex, key] of keys.entries()) {
             const holder = holders.get(key);
             if (holder !== undefined) {
-                // The key itself must not reach a log.
-                const message = `a key of account ${name} is also one of ${holder}`;
+                // The message is logged, so it must not contain the key.
+                const message = `a key of account ${name} is also a key of account ${holder}`;
                 context.addIssue({ code: "custom", path: [index, "keys", keyIndex], message });
             }
             holders.set(key, name);
@@ -60,11 +60,11 @@
     }
 });
 
-/** Finds the account that holds a key, in a time that does not grow with the accounts. */
+/** Finds accounts by key or by name in constant time. */
 export class AccountTable {
     private readonly accountsByKey = new Map<string, Account>();
     private readonly accountsByName = new Map<string, Account>();
-    /** Whether any account has a limit. */
+    /** Whether any account has a quota. */
     readonly hasQuotas: boolean;
 
     constructor(accounts: readonly Account[]) {
@@ -86,24 +86,30 @@
     }
 }
 
-/** Routes' priorities that are told apart below the priority of an account. */
-const routePriorities = 3;
+/** Number of route priorities that are distinguished within one account priority. */
+const routePriorityLevels = 3;
 
-/** Least urgent of all. */
+/** Priority of the least urgent requests. */
 const maxPriority = 9;
 
 /**
- * Urgency of a request, 0 is first: its account's goes before its route's.
- * @param accountPriority Undefined if there is no account, or it has none.
+ * Reads the priority of a request; 0 is the most urgent. The account's priority takes precedence over the route's.
+ * @param accountPriority Undefined if the request has no account, or its account has no priority.
  */
 export function readPriority(routePriority: number, accountPriority: number | undefined): number {
     if (accountPriority === undefined) {
         return Math.min(maxPriority, routePriority);
     }
-    return Math.min(maxPriority, accountPriority * routePriorities + Math.min(routePriority, routePriorities - 1));
+    return Math.min(
+        maxPriority,
+        accountPriority * routePriorityLevels + Math.min(routePriority, routePriorityLevels - 1),
+    );
 }
 
-/** What a request counts against a quota. @param tokens Those that it tells; undefined if it tells none. */
+/**
+ * Reads what a request counts against a quota, in the quota's unit.
+ * @param tokens Token count of the request; undefined if the request has none.
+ */
 export function readCost(quota: Quota, tokens: number | undefined): number {
     if (quota.unit === "requests") {
         return 1;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routes, services and limits: which requests go where, and what they were promised. */
+/** Routes, services, client accounts and limits of the accepted configuration. */
 export {
     type Account,
     accountsSchema,
--- a/packages/routing/src/table.ts
+++ b/packages/routing/src/table.ts
@@ -1,11 +1,11 @@
 import { AccountTable } from "./accounts.js";
 import type { Route, Routing, Service } from "./types.js";
 
-/** Finds the route of a request: among the routes of its host, the one with the longest prefix of its path. */
+/** Finds the route of a request: the route of its host with the longest matching path prefix. */
 export class RouteTable {
     private readonly routesByHost = new Map<string, Route[]>();
     private readonly services = new Map<string, Service>();
-    /** Undefined where callers need no key. */
+    /** Undefined if callers need no key. */
     readonly accounts: AccountTable | undefined;
 
     constructor(readonly routing: Routing) {
@@ -27,8 +27,8 @@
     findRoute(host: string, path: string): Route | undefined {
         const routes = this.routesByHost.get(parseHostName(host));
         const queryAt = path.indexOf("?");
-        const bare = queryAt < 0 ? path : path.slice(0, queryAt);
-        return routes?.find(route => bare.startsWith(route.pathPrefix));
+        const pathname = queryAt < 0 ? path : path.slice(0, queryAt);
+        return routes?.find(route => pathname.startsWith(route.pathPrefix));
     }
 
     findService(name: string): Service | undefined {
@@ -36,22 +36,22 @@
     }
 }
 
-/** The name in a `Host` header: lower case, without its port. */
+/** Parses the host name from a `Host` header: lower case, without the port. */
 export function parseHostName(host: string): string {
     const portAt = host.lastIndexOf(":");
     return (portAt < 0 ? host : host.slice(0, portAt)).toLowerCase();
 }
 
 /**
- * Picks the service of one request from its route's targets.
- * @param share A number from 0 to 1 that is spread evenly over requests.
+ * Chooses the service of a request from the targets of its route, in proportion to their weights.
+ * @param share A number from 0 to 1, uniformly distributed over requests.
  */
 export function chooseTarget(route: Route, share: number): string {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    let rest = share * total;
+    let remaining = share * total;
     for (const target of route.targets) {
-        rest -= target.weight;
-        if (rest < 0) {
+        remaining -= target.weight;
+        if (remaining < 0) {
             return target.service;
         }
     }
