--- a/packages/routing/test/table.test.ts
+++ b/packages/routing/test/table.test.ts
@@ -23,7 +23,7 @@
     return new RouteTable({ version: 1, routes, services: [{ name: "s", maxConnections: 1 }], limits });
 }
 
-test("the longest prefix of the path wins, whatever the order of the routes", () => {
+test("a path matches the route with the longest prefix, in any order of the routes", () => {
     const table = createTable([
         createRoute({ name: "short", pathPrefix: "/a/" }),
         createRoute({ name: "long", pathPrefix: "/a/b/" }),
@@ -35,13 +35,13 @@
     assert.is(table.findRoute("a.example", "/x?y=/a/b/")?.name, "all");
 });
 
-test("a host matches whatever its case and port, and no other host does", () => {
+test("a host matches regardless of case and port, and another host does not match", () => {
     const table = createTable([createRoute({ name: "only" })]);
     assert.is(table.findRoute("A.Example:8080", "/x")?.name, "only");
     assert.is(table.findRoute("b.example", "/x"), undefined);
 });
 
-test("a split sends each target its share, and nothing to a weight of 0", () => {
+test("a traffic split gives each target its share, and a target of weight 0 nothing", () => {
     const route = createRoute({
         targets: [{ service: "a", weight: 0 }, { service: "b", weight: 9 }, { service: "c", weight: 1 }],
     });
