--- a/packages/routing/src/accounts.ts
+++ b/packages/routing/src/accounts.ts
@@ -30,7 +30,9 @@
     /** Upstreams receive the name in a header. */
     name: z.string().max(maxNameLength).regex(/^[\x21-\x7e]([\x20-\x7e]*[\x21-\x7e])?$/, "expected printable ASCII"),
     keys: z.array(z.string().min(1).max(maxKeyLength)),
-    /** 0 is the most urgent. Takes precedence over the priority of a route; if undefined, the route's priority applies. */
+    /**
+     * 0 is the most urgent. Takes precedence over the priority of a route; if undefined, the route's priority applies.
+     */
     priority: z.number().int().nonnegative().optional(),
     /** Undefined if the account has no limit. */
     quota: quotaSchema.optional(),
