--- a/packages/gateway/src/caller.ts
+++ b/packages/gateway/src/caller.ts
@@ -1,30 +1,30 @@
 import { createProblem, type FailureVerdict, problemMediaType, type Verdict } from "@radishreel/verdict";
 import type { ServerResponse } from "node:http";
 
-/** Content types that the gateway itself sends. */
+/** Content type of the gateway's own responses. */
 export const jsonMediaType = "application/json";
 
-/** Seconds after which a caller may ask what became of a request that may have run. */
-export const askAgainSeconds = 1;
+/** `Retry-After` for a request that may have run, in seconds: the caller may then ask for its outcome. */
+export const outcomeRetrySeconds = 1;
 
-/** An answer that is kept aside while it is sent. */
-export interface CapturedAnswer {
+/** Copy of a response that was sent. */
+export interface CapturedResponse {
     readonly status: number;
     readonly contentType: string;
     readonly body: Buffer;
 }
 
-/** Options of {@link CallerAnswer}. */
-export interface CallerAnswerOptions {
+/** Options of {@link CallerResponse}. */
+export interface CallerResponseOptions {
     readonly response: ServerResponse;
-    /** Most bytes of the answer that are captured; 0 captures nothing. */
+    /** Maximum size of a response that is captured, in bytes; 0 captures nothing. */
     readonly captureBytes: number;
-    /** Asks the caller to open another connection, since this process is stopping. */
+    /** Whether to ask the caller to close its connection, because this process is stopping. */
     readonly closesConnection: boolean;
 }
 
-/** The answer to one caller. Whatever is sent is either whole or visibly broken. */
-export class CallerAnswer {
+/** The response to one caller. A response that cannot be completed is aborted, so that it never looks complete. */
+export class CallerResponse {
     private readonly response: ServerResponse;
     private readonly captured: Buffer[] = [];
     private capturedLength = 0;
@@ -32,19 +32,19 @@
     private contentType = "";
     private isEnded = false;
 
-    constructor(private readonly options: CallerAnswerOptions) {
+    constructor(private readonly options: CallerResponseOptions) {
         this.response = options.response;
         if (options.closesConnection) {
             this.response.setHeader("connection", "close");
         }
     }
 
-    get hasBegun(): boolean {
+    get hasStarted(): boolean {
         return this.status !== 0;
     }
 
-    /** Calls back once if the caller goes away, or is given up, before the end. */
-    onGone(listener: () => void): void {
+    /** Calls the listener once if the connection closes before the response ends. */
+    onDisconnect(listener: () => void): void {
         this.response.once("close", () => {
             if (!this.isEnded) {
                 listener();
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Calls back whenever the caller has read what was buffered. */
+    /** Calls the listener whenever the buffered bytes have been sent to the caller. */
     onDrain(listener: () => void): void {
         this.response.on("drain", listener);
     }
@@ -63,33 +63,33 @@
         this.response.writeHead(status, headers);
     }
 
-    /** Sends bytes on. Returns false when the caller reads too slowly and the upstream should pause. */
+    /** Writes bytes. Returns false if the caller reads too slowly and the upstream should pause. */
     write(chunk: Buffer): boolean {
         this.recordCaptured(chunk);
         return this.response.destroyed || this.response.write(chunk);
     }
 
-    /** Ends a whole answer. */
+    /** Ends a complete response. */
     end(): void {
         this.isEnded = true;
         this.response.end();
     }
 
-    /** Breaks an answer off in a way that cannot be taken for its end. */
+    /** Aborts the connection, so that the caller cannot take the response for complete. */
     cancel(): void {
         this.response.destroy();
     }
 
-    /** Sends a whole answer at once. */
+    /** Sends a complete response. */
     send(status: number, contentType: string, body: Buffer | string): void {
         this.begin(status, { "content-type": contentType, "content-length": String(Buffer.byteLength(body)) });
         this.isEnded = true;
         this.response.end(body);
     }
 
-    /** Tells the caller how its request ended, and returns it; an answer that has begun is broken off. */
+    /** Sends a failure to the caller and returns its verdict; a response that has started is aborted. */
     sendFailure(verdict: FailureVerdict): FailureVerdict {
-        if (this.hasBegun || this.response.destroyed) {
+        if (this.hasStarted || this.response.destroyed) {
             this.cancel();
             return verdict;
         }
@@ -101,7 +101,7 @@
         return verdict;
     }
 
-    /** Finishes the answer as `verdict` says. */
+    /** Ends the response, or sends the failure in `verdict`. */
     finish(verdict: Verdict): void {
         if (verdict.kind === "complete") {
             this.end();
@@ -110,8 +110,8 @@
         this.sendFailure(verdict);
     }
 
-    /** The answer that was sent; undefined if it was too large to keep. */
-    readCaptured(): CapturedAnswer | undefined {
+    /** Returns the response that was sent, or undefined if it was too large to store. */
+    readCaptured(): CapturedResponse | undefined {
         if (this.capturedLength > this.options.captureBytes) {
             return undefined;
         }
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -10,21 +10,21 @@
 import { err, ok, type Result } from "neverthrow";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
-import { CallerAnswer, jsonMediaType } from "./caller.js";
+import { CallerResponse, jsonMediaType } from "./caller.js";
 import { type CallContext, parseCall, runCall, servicesPrefix } from "./calls.js";
 import { type CompletionContext, type CompletionPath, parseCompletion, runCompletion } from "./completions.js";
 import type { Route } from "./listener.js";
 import { checkPeerProof, peerProofHeader } from "./peers.js";
 import { type CallerRequest, readBody, readCustomer, readDeadlineMs, requestTokenHeader } from "./request.js";
-import { keptAnswerBytes, maxTokensAtOnce, type TokenDesk } from "./tokens.js";
+import { maxStoredResponseBytes, maxTokensPerRequest, type TokenRegistry } from "./tokens.js";
 
-/** What the callers' routes need of the gateway. */
+/** Parts of the gateway that the callers' routes use. */
 export interface CallersContext {
     readonly fold: OfferingsFold;
     readonly metrics: GatewayMetrics;
     readonly completions: CompletionContext;
     readonly calls: CallContext;
-    readonly tokens: () => TokenDesk;
+    readonly tokens: () => TokenRegistry;
     readonly secret: string;
     readonly maxBodyBytes: number;
     readonly defaultDeadlineMs: number | undefined;
@@ -32,19 +32,19 @@
     readonly isStopping: () => boolean;
 }
 
-/** Seconds after which a gateway that knows no offerings yet may be asked again. */
+/** `Retry-After` of a gateway that has not received offerings yet, in seconds. */
 const noOfferingsRetrySeconds = 1;
 
-const tokensBodySchema = z.strictObject({ count: z.number().int().min(1).max(maxTokensAtOnce).default(1) });
+const tokensBodySchema = z.strictObject({ count: z.number().int().min(1).max(maxTokensPerRequest).default(1) });
 
-/** A request is answered when its handler settles. */
-type CallerHandler = (request: CallerRequest, answer: CallerAnswer) => Promise<Verdict>;
+/** Handles a request; the response is finished when the returned promise settles. */
+type CallerHandler = (request: CallerRequest, response: CallerResponse) => Promise<Verdict>;
 
-/** The routes that callers use. Other gateways use the same ones, on another listener, with a proof. */
+/** Routes for callers. Other gateways use the same routes on a separate listener, with a proof of their origin. */
 export class CallerRoutes {
     constructor(private readonly context: CallersContext) {}
 
-    /** @param isPeer The routes are for other gateways, which prove themselves. */
+    /** @param isPeer Whether the routes are for other gateways, whose requests carry a peer proof. */
     list(isPeer: boolean): Route[] {
         const createRoute = (method: Route["method"], pattern: string, handler: CallerHandler): Route => ({
             method,
@@ -54,18 +54,18 @@
         const completionPaths: CompletionPath[] = ["/v1/chat/completions", "/v1/completions"];
         return [
             ...completionPaths.map(path =>
-                createRoute("post", path, (request, answer) => this.handleCompletion(request, answer, path))
+                createRoute("post", path, (request, response) => this.handleCompletion(request, response, path))
             ),
-            createRoute("get", "/v1/models", (request, answer) => this.handleModels(request, answer)),
-            createRoute("post", "/v1/request-tokens", (request, answer) => this.handleTokens(request, answer)),
-            createRoute("all", `${servicesPrefix}*`, (request, answer) => this.handleCall(request, answer)),
+            createRoute("get", "/v1/models", (request, response) => this.handleModels(request, response)),
+            createRoute("post", "/v1/request-tokens", (request, response) => this.handleTokens(request, response)),
+            createRoute("all", `${servicesPrefix}*`, (request, response) => this.handleCall(request, response)),
         ];
     }
 
-    /** Answers a path that no route matches. */
+    /** Responds to a path that no route matches. */
     sendUnknownRoute(response: ServerResponse): void {
-        const answer = this.createAnswer(response, 0);
-        this.refuse(answer, createRefused("unknownRoute", "no such path; see docs/guide/callers.md"));
+        const callerResponse = this.createResponse(response, 0);
+        this.refuse(callerResponse, createRefused("unknownRoute", "no such path; see docs/guide/callers.md"));
     }
 
     private async receive(
@@ -77,18 +77,18 @@
     ): Promise<void> {
         const arrivedAt = performance.now();
         const { metrics } = this.context;
-        const answer = this.createAnswer(
+        const callerResponse = this.createResponse(
             response,
-            incoming.headers[requestTokenHeader] === undefined ? 0 : keptAnswerBytes,
+            incoming.headers[requestTokenHeader] === undefined ? 0 : maxStoredResponseBytes,
         );
         metrics.openRequests.inc();
         const request = await this.readRequest(incoming, path, isPeer, arrivedAt);
         if (request.isErr()) {
-            this.refuse(answer, createRefusal(incoming.headers, request.error));
+            this.refuse(callerResponse, createRefusal(incoming.headers, request.error));
             metrics.openRequests.dec();
             return;
         }
-        const verdict = await handler(request.value, answer);
+        const verdict = await handler(request.value, callerResponse);
         metrics.openRequests.dec();
         metrics.requests.inc({ class: request.value.customer.class, verdict: verdict.kind });
         if (verdict.kind !== "complete") {
@@ -96,16 +96,16 @@
         }
     }
 
-    private createAnswer(response: ServerResponse, captureBytes: number): CallerAnswer {
-        return new CallerAnswer({ response, captureBytes, closesConnection: this.context.isStopping() });
+    private createResponse(response: ServerResponse, captureBytes: number): CallerResponse {
+        return new CallerResponse({ response, captureBytes, closesConnection: this.context.isStopping() });
     }
 
-    private refuse(answer: CallerAnswer, verdict: FailureVerdict): void {
+    private refuse(response: CallerResponse, verdict: FailureVerdict): void {
         this.context.metrics.recordRefusal(verdict.reason);
-        answer.sendFailure(verdict);
+        response.sendFailure(verdict);
     }
 
-    /** Everything that can be judged before anything is queued. */
+    /** Reads a request and makes the checks that need no parsing of its body, before the request is queued. */
     private async readRequest(
         incoming: IncomingMessage,
         path: string,
@@ -114,7 +114,9 @@
     ): Promise<Result<CallerRequest, RefusedVerdict>> {
         const { fold, maxBodyBytes, defaultDeadlineMs, secret, createId } = this.context;
         if (!fold.isKnown) {
-            return err(createRefused("noOfferings", "this gateway knows no offerings yet", noOfferingsRetrySeconds));
+            return err(
+                createRefused("noOfferings", "this gateway has not received offerings yet", noOfferingsRetrySeconds),
+            );
         }
         const offerings = fold.offerings;
         const customer = readCustomer(incoming.headers, offerings);
@@ -151,65 +153,65 @@
 
     private async handleCompletion(
         request: CallerRequest,
-        answer: CallerAnswer,
+        response: CallerResponse,
         path: CompletionPath,
     ): Promise<Verdict> {
         const completion = parseCompletion(request, path);
         if (completion.isErr()) {
-            return answer.sendFailure(createRefusal(request.headers, completion.error));
+            return response.sendFailure(createRefusal(request.headers, completion.error));
         }
         const hasToken = request.headers[requestTokenHeader] !== undefined;
         const run = (): Promise<Verdict> =>
-            runCompletion(this.context.completions, request, completion.value, answer, hasToken);
-        return this.runRequest(request, answer, hasToken, run);
+            runCompletion(this.context.completions, request, completion.value, response, hasToken);
+        return this.runRequest(request, response, hasToken, run);
     }
 
-    private async handleCall(request: CallerRequest, answer: CallerAnswer): Promise<Verdict> {
+    private async handleCall(request: CallerRequest, response: CallerResponse): Promise<Verdict> {
         const call = parseCall(request);
         if (call.isErr()) {
-            return answer.sendFailure(createRefusal(request.headers, call.error));
+            return response.sendFailure(createRefusal(request.headers, call.error));
         }
         const hasToken = request.headers[requestTokenHeader] !== undefined;
         if (!call.value.isIdempotent && !hasToken) {
             const detail =
-                `this call must not run twice: ask POST /v1/request-tokens for a token and show it in ${requestTokenHeader}`;
-            return answer.sendFailure(createRefused("requestTokenRequired", detail));
+                `this call must not run twice: send a token from POST /v1/request-tokens in ${requestTokenHeader}`;
+            return response.sendFailure(createRefused("requestTokenRequired", detail));
         }
-        const run = (): Promise<Verdict> => runCall(this.context.calls, request, call.value, answer, hasToken);
-        return this.runRequest(request, answer, hasToken, run);
+        const run = (): Promise<Verdict> => runCall(this.context.calls, request, call.value, response, hasToken);
+        return this.runRequest(request, response, hasToken, run);
     }
 
     private async runRequest(
         request: CallerRequest,
-        answer: CallerAnswer,
+        response: CallerResponse,
         hasToken: boolean,
         run: () => Promise<Verdict>,
     ): Promise<Verdict> {
         if (hasToken) {
-            return this.context.tokens().runOnce(request, answer, run);
+            return this.context.tokens().runOnce(request, response, run);
         }
         const verdict = await run();
-        answer.finish(verdict);
+        response.finish(verdict);
         return verdict;
     }
 
-    private async handleModels(request: CallerRequest, answer: CallerAnswer): Promise<Verdict> {
+    private async handleModels(request: CallerRequest, response: CallerResponse): Promise<Verdict> {
         const data = request.offerings.listModels(request.customer).map(id => ({
             id,
             object: "model",
             owned_by: "radishreel",
         }));
-        answer.send(200, jsonMediaType, JSON.stringify({ object: "list", data }) + "\n");
+        response.send(200, jsonMediaType, JSON.stringify({ object: "list", data }) + "\n");
         return { kind: "complete" };
     }
 
-    private async handleTokens(request: CallerRequest, answer: CallerAnswer): Promise<Verdict> {
+    private async handleTokens(request: CallerRequest, response: CallerResponse): Promise<Verdict> {
         const count = parseTokenCount(request.body);
         if (count.isErr()) {
-            return answer.sendFailure(count.error);
+            return response.sendFailure(count.error);
         }
         const { tokens, expiresAt } = this.context.tokens().createTokens(request.customer.name, count.value);
-        answer.send(
+        response.send(
             200,
             jsonMediaType,
             JSON.stringify({ tokens, expiresAt: new Date(expiresAt).toISOString() }) + "\n",
@@ -219,8 +221,8 @@
 }
 
 /**
- * A refusal before the request token was judged. With a token the request may have run under an earlier attempt, of which
- * this gateway knows nothing yet: only the token's ledger can say `not-run`.
+ * Creates the verdict of a refusal made before the request token was checked. With a token, an earlier attempt may have
+ * run without this gateway's knowledge: only the ledger of the token can report `not-run`.
  */
 function createRefusal(headers: IncomingMessage["headers"], verdict: RefusedVerdict): FailureVerdict {
     return headers[requestTokenHeader] === undefined
@@ -236,7 +238,7 @@
         }
     }
     catch {
-        // Told below, like any other malformed body.
+        // Reported below, like any other malformed body.
     }
-    return err(createRefused("malformedBody", `expected {"count": n} with n from 1 to ${maxTokensAtOnce}`));
+    return err(createRefused("malformedBody", `expected {"count": n} with n from 1 to ${maxTokensPerRequest}`));
 }
--- a/packages/gateway/src/calls.ts
+++ b/packages/gateway/src/calls.ts
@@ -3,32 +3,32 @@
 import { createRefused, type RefusedVerdict, type Verdict } from "@radishreel/verdict";
 import { err, ok, type Result } from "neverthrow";
 import type { IncomingHttpHeaders } from "node:http";
-import type { CallerAnswer } from "./caller.js";
+import type { CallerResponse } from "./caller.js";
 import type { Placement } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
 import { type RunContext, UpstreamRun } from "./run.js";
 
-/** Start of the paths of plain services. */
+/** Path prefix of plain services. */
 export const servicesPrefix = "/v1/services/";
 
-/** A checked call of a plain service. */
+/** A validated call of a plain service. */
 export interface ServiceCall {
     readonly service: string;
-    /** Path and query at the service. */
+    /** Path and query sent to the service. */
     readonly path: string;
     readonly isIdempotent: boolean;
     readonly timeoutMs: number;
 }
 
-/** What {@link runCall} needs of the gateway. */
+/** Parts of the gateway that {@link runCall} uses. */
 export interface CallContext extends RunContext {
     readonly services: ServiceClient;
 }
 
-/** Headers of an answer that are passed on; the others belong to the connection. */
-const passedHeaders = ["content-type", "content-length", "etag", "location", "retry-after", "cache-control"];
+/** Response headers that are forwarded to callers; other headers concern the connection to the upstream. */
+const forwardedResponseHeaders = ["content-type", "content-length", "etag", "location", "retry-after", "cache-control"];
 
-/** Checks a call against the offerings, before anything is queued. */
+/** Validates a call against the offerings, before the request is queued. */
 export function parseCall(request: CallerRequest): Result<ServiceCall, RefusedVerdict> {
     const rest = request.path.slice(servicesPrefix.length);
     const end = rest.search(/[/?]|$/);
@@ -57,32 +57,32 @@
     );
 }
 
-/** Runs one call to its end. The answer is sent on as it comes, but not finished. */
+/** Runs one call until its verdict. Response bytes are forwarded as they arrive; the caller finishes the response. */
 export function runCall(
     context: CallContext,
     request: CallerRequest,
     call: ServiceCall,
-    answer: CallerAnswer,
-    survivesCaller: boolean,
+    response: CallerResponse,
+    continuesAfterDisconnect: boolean,
 ): Promise<Verdict> {
-    return new CallRun(context, request, call, answer, survivesCaller).verdict;
+    return new CallRun(context, request, call, response, continuesAfterDisconnect).verdict;
 }
 
-/** One call, over all its attempts. */
+/** One call with all its attempts. */
 class CallRun extends UpstreamRun {
     constructor(
         private readonly callContext: CallContext,
         request: CallerRequest,
         private readonly call: ServiceCall,
-        answer: CallerAnswer,
-        survivesCaller: boolean,
+        response: CallerResponse,
+        continuesAfterDisconnect: boolean,
     ) {
-        super({ context: callContext, request, answer, survivesCaller });
+        super({ context: callContext, request, response, continuesAfterDisconnect });
         this.arrive(call.service);
     }
 
     protected open(placement: Placement, callId: string): Call {
-        const { callContext: context, request, call, answer } = this;
+        const { callContext: context, request, call, response } = this;
         return context.services.open({
             address: context.findAddress(placement.engineId) ?? "",
             method: request.method,
@@ -91,8 +91,8 @@
             body: request.body.length === 0 ? undefined : request.body,
             silenceMs: call.timeoutMs,
             receiver: {
-                receiveHead: (status, headers) => answer.begin(status, readPassedHeaders(headers)),
-                receiveData: chunk => this.passOn(chunk),
+                receiveHead: (status, headers) => response.begin(status, readForwardedHeaders(headers)),
+                receiveData: chunk => this.forwardChunk(chunk),
             },
         });
     }
@@ -109,14 +109,14 @@
     return headers;
 }
 
-/** Headers that may go from an upstream to a caller. */
-export function readPassedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
-    const passed: Record<string, string> = {};
-    for (const name of passedHeaders) {
+/** Selects the response headers that may be forwarded from an upstream to a caller. */
+export function readForwardedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
+    const forwarded: Record<string, string> = {};
+    for (const name of forwardedResponseHeaders) {
         const value = headers[name];
         if (typeof value === "string") {
-            passed[name] = value;
+            forwarded[name] = value;
         }
     }
-    return passed;
+    return forwarded;
 }
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -4,7 +4,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { createHash } from "node:crypto";
 import { z } from "zod";
-import type { CallerAnswer } from "./caller.js";
+import type { CallerResponse } from "./caller.js";
 import { readInstant } from "./clock.js";
 import { type Placement, priorityByClass } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
@@ -13,7 +13,7 @@
 /** Paths of completions. */
 export type CompletionPath = "/v1/chat/completions" | "/v1/completions";
 
-/** What the gateway reads of a completion's body; the rest goes to the engine as it came. */
+/** Fields of a completion's body that the gateway reads. The body is forwarded to the engine unchanged. */
 const completionBodySchema = z.object({
     model: z.string(),
     stream: z.boolean().optional(),
@@ -21,10 +21,10 @@
     messages: z.unknown().optional(),
 });
 
-/** Characters of a prompt that name its prefix. */
+/** Number of characters at the start of a prompt that identify its prefix. */
 const prefixLength = 512;
 
-/** A checked completion. */
+/** A validated completion. */
 export interface CompletionRequest {
     readonly path: CompletionPath;
     readonly model: string;
@@ -32,13 +32,13 @@
     readonly prefix: string;
 }
 
-/** What {@link runCompletion} needs of the gateway. */
+/** Parts of the gateway that {@link runCompletion} uses. */
 export interface CompletionContext extends RunContext {
     readonly engines: EngineClient;
     readonly silenceMs: number;
 }
 
-/** Checks a completion against the offerings, before anything is queued. */
+/** Validates a completion against the offerings, before the request is queued. */
 export function parseCompletion(
     request: CallerRequest,
     path: CompletionPath,
@@ -80,32 +80,32 @@
     }
 }
 
-/** Runs one completion to its end. The answer is sent on as it comes, but not finished. */
+/** Runs one completion until its verdict. Forwards response bytes as they arrive, but does not finish the response. */
 export function runCompletion(
     context: CompletionContext,
     request: CallerRequest,
     completion: CompletionRequest,
-    answer: CallerAnswer,
-    survivesCaller: boolean,
+    response: CallerResponse,
+    continuesAfterDisconnect: boolean,
 ): Promise<Verdict> {
-    return new CompletionRun(context, request, completion, answer, survivesCaller).verdict;
+    return new CompletionRun(context, request, completion, response, continuesAfterDisconnect).verdict;
 }
 
-/** One completion, over all its attempts. */
+/** One completion with all its attempts. */
 class CompletionRun extends UpstreamRun {
     constructor(
         private readonly completionContext: CompletionContext,
         request: CallerRequest,
         private readonly completion: CompletionRequest,
-        answer: CallerAnswer,
-        survivesCaller: boolean,
+        response: CallerResponse,
+        continuesAfterDisconnect: boolean,
     ) {
-        super({ context: completionContext, request, answer, survivesCaller });
+        super({ context: completionContext, request, response, continuesAfterDisconnect });
         this.arrive(completion.model, completion.prefix);
     }
 
     protected open(placement: Placement, callId: string): Completion {
-        const { completionContext: context, request, completion, answer } = this;
+        const { completionContext: context, request, completion, response } = this;
         const { engineId } = placement;
         const customerClass = request.customer.class;
         this.recordPlacement(placement);
@@ -121,8 +121,8 @@
             silenceMs: context.silenceMs,
             checkBeforeSend: () => context.control.leases.isLeased(engineId, completion.model, readInstant()),
             receiver: {
-                receiveHead: (status, contentType) => answer.begin(status, { "content-type": contentType }),
-                receiveData: chunk => this.passOn(chunk),
+                receiveHead: (status, contentType) => response.begin(status, { "content-type": contentType }),
+                receiveData: chunk => this.forwardChunk(chunk),
             },
         });
     }
@@ -133,7 +133,7 @@
         const isSure = end.isSure ?? true;
         const isLast = control.uses.remove(engineId, model, this.request.customer.class, isSure, control.nextSequence);
         if (isLast && !control.leases.isLeased(engineId, model, readInstant())) {
-            control.recordRelease();
+            control.renewAfterRelease();
         }
     }
 
--- a/packages/gateway/src/control.ts
+++ b/packages/gateway/src/control.ts
@@ -22,14 +22,14 @@
 import type { GatewaySettings } from "./settings.js";
 import { UseCounter } from "./uses.js";
 
-/** What the control task tells the gateway. */
+/** Events that the control task reports to the gateway. */
 export interface ControlEvents {
-    /** Leases or counts of engines may have changed. */
+    /** Leases or request counts of engines may have changed. */
     onEngines(): void;
     onServices(upstreams: readonly ServiceUpstream[]): void;
     onOutlook(outlook: MessageOf<"outlook">): void;
     onOfferings(): void;
-    /** Another placer is responsible, or has only now learnt that it is: it must hear of everything that waits. */
+    /** Another agent became the placer, or has just learnt that it is: the whole demand must be sent to it. */
     onPlacerChange(): void;
     onHeirs(heirs: MessageOf<"heirs">["heirs"]): void;
 }
@@ -47,17 +47,17 @@
 interface AgentPeer {
     readonly link: AgentLink;
     readonly sync: OfferingsSync;
-    /** Renewals that the agent has not answered yet, oldest first. */
-    readonly renewals: { sequence: number; sentAt: Instant; own: ReadonlyMap<string, InFlight>; }[];
-    /** Sequence of the last renewal that the agent has answered. */
-    answered: number;
-    /** Addresses of agents that this one knows. */
-    listed: readonly string[];
-    /** Own requests by engine, as that renewal told them: the agent's counts hold just these. */
-    toldOwn: ReadonlyMap<string, InFlight>;
+    /** Renewals that the agent has not acknowledged yet, oldest first. */
+    readonly renewals: { sequence: number; sentAt: Instant; inFlight: ReadonlyMap<string, InFlight>; }[];
+    /** Sequence of the last renewal that the agent has acknowledged with a grant. */
+    acknowledgedSequence: number;
+    /** Addresses of the agents that this agent knows. */
+    knownAgents: readonly string[];
+    /** This gateway's requests per engine in the last acknowledged renewal: those that the agent's counts include. */
+    reportedInFlight: ReadonlyMap<string, InFlight>;
 }
 
-/** Requests by customer class. */
+/** Number of requests per customer class. */
 interface InFlight {
     readonly paying: number;
     readonly trial: number;
@@ -67,15 +67,15 @@
 
 type AgentLink = Link<Message, OutgoingMessage>;
 
-/** Unanswered renewals that are remembered for one agent. */
-const maxRenewals = 64;
+/** Maximum number of unacknowledged renewals that are stored per agent. */
+const maxPendingRenewals = 64;
 
 const placerKey = "placer";
 
-/** How long the services that a gone agent watched are remembered, in milliseconds. */
-const goneAgentMs = 15_000;
+/** Time for which the services reported by a disconnected agent are kept, in milliseconds. */
+const disconnectedAgentMs = 15_000;
 
-/** Owns the gateway's links to the agents of its data centre: leases, demand, configuration, services. */
+/** Manages the gateway's links to the agents of its data centre: leases, demand, configuration, services. */
 export class ControlTask {
     readonly leases = new LeaseHolder();
     readonly uses = new UseCounter();
@@ -83,9 +83,9 @@
     private readonly peers = new Map<string, AgentPeer>();
     private readonly services = new Map<
         string,
-        { upstreams: readonly ServiceUpstream[]; goneAt: number | undefined; }
+        { upstreams: readonly ServiceUpstream[]; disconnectedAt: number | undefined; }
     >();
-    private readonly others = new Map<string, InFlight>();
+    private readonly otherInFlight = new Map<string, InFlight>();
     private otherGateways: MessageOf<"gateways">["gateways"] = [];
     private sequence = 0;
     private placer: string | undefined;
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Sends what is wanted to the placer. Returns false without one, so that nothing counts as told. */
+    /** Sends demand to the placer. Returns false if it was not sent, so that the demand does not count as reported. */
     sendDemand(changes: MessageOf<"demand">["changes"]): boolean {
         const peer = this.placer === undefined ? undefined : this.peers.get(this.placer);
         if (peer === undefined || !peer.link.isOpen) {
@@ -125,22 +125,22 @@
         return this.placer !== undefined;
     }
 
-    /** Requests that other gateways have on an engine, as its owner last said. */
-    readOthers(engineId: string): InFlight {
-        return this.others.get(engineId) ?? noneInFlight;
+    /** Returns how many requests other gateways have on an engine, as its owner last reported. */
+    readOtherInFlight(engineId: string): InFlight {
+        return this.otherInFlight.get(engineId) ?? noneInFlight;
     }
 
-    /** A use of a model has ended. Owners that wait for its release are told at once. */
-    recordRelease(): void {
+    /** Renews at once after the last use of a model ended, for an owner that may be waiting for its release. */
+    renewAfterRelease(): void {
         this.renewAll();
     }
 
-    /** The next renewal's sequence. */
+    /** Sequence of the next renewal. */
     get nextSequence(): number {
         return this.sequence + 1;
     }
 
-    /** An upstream said that it leaves. */
+    /** Reports to all agents that an upstream is leaving. */
     sendLeaving(upstreamId: string): void {
         this.broadcast({ type: "leaving", upstreamId });
     }
@@ -149,7 +149,7 @@
         this.broadcast({ type: "heirs", heirs });
     }
 
-    /** Other gateways of the data centre, for a handover. */
+    /** Lists the other gateways of the data centre, for a handover. */
     listOtherGateways(): MessageOf<"gateways">["gateways"] {
         return this.otherGateways;
     }
@@ -183,17 +183,17 @@
         client.start();
     }
 
-    /** Follows what connected agents know: an agent that none of them knows any more is not called for ever. */
+    /** Opens links to the agents that connected agents know, and stops connecting to agents that none of them knows. */
     private updateAgents(): void {
-        const listed = [...this.peers.values()].flatMap(peer => [...peer.listed, peer.link.peer.address]);
-        const wanted = new Set([...this.options.settings.agents, ...listed]);
+        const known = [...this.peers.values()].flatMap(peer => [...peer.knownAgents, peer.link.peer.address]);
+        const addresses = new Set([...this.options.settings.agents, ...known]);
         for (const [address, client] of this.clients) {
-            if (!wanted.has(address)) {
+            if (!addresses.has(address)) {
                 client.stop();
                 this.clients.delete(address);
             }
         }
-        wanted.forEach(address => this.openAgent(address));
+        addresses.forEach(address => this.openAgent(address));
     }
 
     private receiveOpen(link: AgentLink): void {
@@ -202,9 +202,9 @@
             link,
             sync: new OfferingsSync(this.options.fold),
             renewals: [],
-            answered: 0,
-            listed: [],
-            toldOwn: new Map(),
+            acknowledgedSequence: 0,
+            knownAgents: [],
+            reportedInFlight: new Map(),
         });
         this.options.logger.info("agent connected", { agent: link.peer.id });
         this.updatePlacer();
@@ -220,7 +220,7 @@
         this.peers.delete(entry[0]);
         const services = this.services.get(entry[0]);
         if (services !== undefined) {
-            services.goneAt = performance.now();
+            services.disconnectedAt = performance.now();
         }
         this.options.logger.warn("agent disconnected", { agent: link.peer.id, reason });
         this.updatePlacer();
@@ -240,7 +240,7 @@
 
     private renewAll(): void {
         if (this.leases.expire(readInstant())) {
-            this.options.logger.warn("leases lapsed");
+            this.options.logger.warn("leases expired");
         }
         for (const key of this.peers.keys()) {
             this.renew(key);
@@ -256,8 +256,8 @@
             return;
         }
         const sequence = ++this.sequence;
-        peer.renewals.push({ sequence, sentAt: readInstant(), own: this.uses.readInFlight() });
-        if (peer.renewals.length > maxRenewals) {
+        peer.renewals.push({ sequence, sentAt: readInstant(), inFlight: this.uses.readInFlight() });
+        if (peer.renewals.length > maxPendingRenewals) {
             peer.renewals.shift();
         }
         peer.link.send({
@@ -265,8 +265,8 @@
             sequence,
             grantVersion: this.leases.readVersion(key),
             offeringsVersion: this.options.fold.version,
-            uses: this.uses.list().filter(use => this.leases.isConcerned(key, use.engineId)),
-            unsure: this.uses.listUnsure().filter(use => this.leases.isConcerned(key, use.engineId)),
+            uses: this.uses.list().filter(use => this.leases.mayOwn(key, use.engineId)),
+            unsure: this.uses.listUnconfirmed().filter(use => this.leases.mayOwn(key, use.engineId)),
         });
     }
 
@@ -274,20 +274,23 @@
         const index = peer.renewals.findIndex(renewal => renewal.sequence === grant.sequence);
         const renewal = index < 0 ? undefined : peer.renewals[index];
         peer.renewals.splice(0, index + 1);
-        peer.answered = Math.max(peer.answered, grant.sequence);
-        peer.toldOwn = renewal?.own ?? peer.toldOwn;
+        peer.acknowledgedSequence = Math.max(peer.acknowledgedSequence, grant.sequence);
+        peer.reportedInFlight = renewal?.inFlight ?? peer.reportedInFlight;
         for (const { id, paying, trial } of grant.counts ?? []) {
-            const own = peer.toldOwn.get(id) ?? noneInFlight;
-            this.others.set(id, { paying: Math.max(0, paying - own.paying), trial: Math.max(0, trial - own.trial) });
+            const reported = peer.reportedInFlight.get(id) ?? noneInFlight;
+            this.otherInFlight.set(id, {
+                paying: Math.max(0, paying - reported.paying),
+                trial: Math.max(0, trial - reported.trial),
+            });
         }
-        this.uses.removeUnsure(Math.min(...[...this.peers.values()].map(other => other.answered)));
+        this.uses.removeUnconfirmed(Math.min(...[...this.peers.values()].map(other => other.acknowledgedSequence)));
         const versionBefore = this.leases.readVersion(key);
         const changed = this.leases.receiveGrant(key, grant, renewal?.sentAt);
         if (changed) {
             this.options.events.onEngines();
         }
         if (this.leases.readVersion(key) !== versionBefore) {
-            // The owner may be waiting for this grant to be confirmed.
+            // The owner may be waiting for the confirmation of this grant.
             this.renew(key);
         }
     }
@@ -308,7 +311,8 @@
                 this.options.events.onOutlook(message);
                 return;
             case "askState":
-                // To this gateway another agent may still be the placer; it tells the new one when it sees the change.
+                // Ignored from an agent that this gateway does not see as the placer. The demand is sent to the new
+                // placer when this gateway detects the change.
                 if (key === this.placer) {
                     this.options.events.onPlacerChange();
                 }
@@ -317,7 +321,7 @@
                 this.receiveServices(key, message.upstreams);
                 return;
             case "agents":
-                peer.listed = message.addresses;
+                peer.knownAgents = message.addresses;
                 this.updateAgents();
                 return;
             case "gateways":
@@ -339,17 +343,17 @@
         }
     }
 
-    /** Each agent tells of the service upstreams that it watches. */
+    /** Stores the service upstreams that one agent watches. */
     private receiveServices(key: string, upstreams: readonly ServiceUpstream[]): void {
-        this.services.set(key, { upstreams, goneAt: undefined });
+        this.services.set(key, { upstreams, disconnectedAt: undefined });
         this.options.events.onServices(this.listServices());
     }
 
-    /** What a connected agent says goes before what one that has gone said last. */
+    /** Reports of connected agents take precedence over the last reports of disconnected agents. */
     private listServices(): ServiceUpstream[] {
         const byId = new Map<string, ServiceUpstream>();
         const lists = [...this.services.values()].sort((left, right) =>
-            (left.goneAt ?? Infinity) - (right.goneAt ?? Infinity)
+            (left.disconnectedAt ?? Infinity) - (right.disconnectedAt ?? Infinity)
         );
         for (const upstream of lists.flatMap(list => list.upstreams)) {
             byId.set(upstream.id, upstream);
@@ -357,11 +361,14 @@
         return [...byId.values()];
     }
 
-    /** Another agent has taken over what a gone one watched; without any agent its last words stay. */
+    /**
+     * Drops the reports of agents that disconnected more than {@link disconnectedAgentMs} ago, as other agents watch
+     * these services by then. Without any connected agent the last reports are kept.
+     */
     private expireServices(): void {
         const now = performance.now();
-        for (const [agent, { goneAt }] of this.services) {
-            if (this.peers.size > 0 && goneAt !== undefined && now - goneAt > goneAgentMs) {
+        for (const [agent, { disconnectedAt }] of this.services) {
+            if (this.peers.size > 0 && disconnectedAt !== undefined && now - disconnectedAt > disconnectedAgentMs) {
                 this.services.delete(agent);
             }
         }
@@ -383,7 +390,7 @@
     }
 }
 
-/** Leaves out what is zero: most models are only counted. */
+/** Omits zero values: for most models only the arrivals are counted. */
 function createSparseDemand(
     demand: MessageOf<"demand">["changes"][number],
 ): Extract<OutgoingMessage, { type: "demand"; }>["changes"][number] {
--- a/packages/gateway/src/dispatching.ts
+++ b/packages/gateway/src/dispatching.ts
@@ -12,24 +12,24 @@
 } from "@radishreel/dispatch";
 import type { Reason, RefusedVerdict } from "@radishreel/verdict";
 
-/** An upstream chosen for a request. */
+/** The upstream chosen for a request. */
 export interface Placement {
     readonly engineId: string;
     readonly stallMs: number;
     readonly fullness: number;
 }
 
-/** What a waiting request hears: once `dispatch` for each attempt, and at most one `refuse` at the end. */
+/** Callbacks of a waiting request: `dispatch` once per attempt, and at most one `refuse` at the end. */
 export interface WaitingRequest {
     dispatch(placement: Placement): void;
     refuse(verdict: RefusedVerdict): void;
 }
 
-/** Drives one dispatcher with the machine's clock. */
+/** Drives one dispatcher with the clock of the VM. */
 export class DispatchTask {
     private readonly dispatcher: Dispatcher;
     private readonly waiting = new Map<string, WaitingRequest>();
-    private readonly known = new Set<string>();
+    private readonly knownEngineIds = new Set<string>();
     private timer: NodeJS.Timeout | undefined;
 
     constructor(options: DispatcherOptions, private readonly onRetry: (reason: Reason) => void) {
@@ -40,7 +40,7 @@
         return this.dispatcher.openRequests;
     }
 
-    /** Takes new offerings. */
+    /** Applies the options of new offerings. */
     setOptions(options: DispatcherOptions): void {
         this.dispatcher.setOptions(options);
     }
@@ -51,13 +51,13 @@
         this.run({ type: "arrive", request });
     }
 
-    /** Takes a request out that has not been dispatched. */
+    /** Removes a request that has not been dispatched. */
     cancel(requestId: string): void {
         this.waiting.delete(requestId);
         this.run({ type: "cancel", requestId });
     }
 
-    /** Ends one attempt. Unless it was not run, the request is over. */
+    /** Ends one attempt. Unless the outcome is `notRun`, the request has ended too. */
     end(requestId: string, engineId: string, outcome: AttemptOutcome, reason?: Reason): void {
         if (outcome !== "notRun") {
             this.waiting.delete(requestId);
@@ -65,17 +65,17 @@
         this.run({ type: "ended", requestId, engineId, outcome, reason });
     }
 
-    /** Replaces what is known of the upstreams. */
+    /** Replaces the known upstreams. */
     setEngines(engines: readonly LeasedEngine[]): void {
         const present = new Set(engines.map(engine => engine.id));
-        for (const engineId of this.known) {
+        for (const engineId of this.knownEngineIds) {
             if (!present.has(engineId)) {
-                this.known.delete(engineId);
+                this.knownEngineIds.delete(engineId);
                 this.run({ type: "engineGone", engineId });
             }
         }
         for (const engine of engines) {
-            this.known.add(engine.id);
+            this.knownEngineIds.add(engine.id);
             this.run({ type: "engine", engine });
         }
     }
@@ -99,12 +99,12 @@
     private run(event: DispatchEvent): void {
         const now = performance.now();
         for (const command of this.dispatcher.decide(event, now)) {
-            this.carryOut(command);
+            this.runCommand(command);
         }
         this.schedule(now);
     }
 
-    private carryOut(command: DispatchCommand): void {
+    private runCommand(command: DispatchCommand): void {
         switch (command.type) {
             case "dispatch":
                 this.waiting.get(command.request.id)?.dispatch(command);
@@ -122,12 +122,12 @@
 
     private schedule(now: number): void {
         clearTimeout(this.timer);
-        const wake = this.dispatcher.findNextWake(now);
-        if (wake !== undefined) {
-            this.timer = setTimeout(() => this.run({ type: "tick" }), Math.max(1, Math.ceil(wake - now)));
+        const wakeAt = this.dispatcher.findNextWake(now);
+        if (wakeAt !== undefined) {
+            this.timer = setTimeout(() => this.run({ type: "tick" }), Math.max(1, Math.ceil(wakeAt - now)));
         }
     }
 }
 
-/** Priority of a class towards engines; higher goes first. */
+/** Priority of each customer class that is sent to engines; higher runs first. */
 export const priorityByClass: Record<CustomerClass, number> = { paying: 10, trial: 0 };
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -1,16 +1,16 @@
 import { HttpServiceClient, type UpstreamConnections } from "@radishreel/upstreams";
 import { createMayHaveRun, type Verdict } from "@radishreel/verdict";
-import { askAgainSeconds, type CallerAnswer } from "./caller.js";
-import { readPassedHeaders } from "./calls.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
+import { readForwardedHeaders } from "./calls.js";
 import { createPeerProof, peerProofHeader } from "./peers.js";
 import { type CallerRequest, deadlineHeader, requestTokenHeader } from "./request.js";
 
-/** Headers that the issuer needs to judge the request as if it had come to it. */
-const forwardedHeaders = ["authorization", "content-type", "accept", requestTokenHeader];
+/** Headers that the issuing gateway needs to handle the request as if the caller had sent it there directly. */
+const forwardedRequestHeaders = ["authorization", "content-type", "accept", requestTokenHeader];
 
 /**
- * Passes a request on to the gateway that may run it. Whatever breaks on the way leaves open whether an earlier
- * attempt of the caller's ran, so that nothing here says `not-run` but the issuer itself.
+ * Forwards a request to the gateway that issued its token or took over the ledger. A failure on the way leaves open
+ * whether an earlier attempt of the caller ran, so only the issuing gateway itself may report `not-run`.
  */
 export async function forwardRequest(
     connections: UpstreamConnections,
@@ -18,13 +18,13 @@
     silenceMs: number,
     address: string,
     request: CallerRequest,
-    answer: CallerAnswer,
+    response: CallerResponse,
 ): Promise<Verdict> {
     const headers: Record<string, string> = {
         [peerProofHeader]: createPeerProof(secret, request.method, request.path, request.body, Date.now()),
         [deadlineHeader]: String(Math.max(1, Math.round(request.deadlineAt - performance.now()))),
     };
-    for (const name of forwardedHeaders) {
+    for (const name of forwardedRequestHeaders) {
         const value = request.headers[name];
         if (typeof value === "string") {
             headers[name] = value;
@@ -38,23 +38,23 @@
         body: request.body.length === 0 ? undefined : request.body,
         silenceMs,
         receiver: {
-            receiveHead: (status, answered) => answer.begin(status, readPassedHeaders(answered)),
+            receiveHead: (status, answered) => response.begin(status, readForwardedHeaders(answered)),
             receiveData: chunk => {
-                if (!answer.write(chunk)) {
+                if (!response.write(chunk)) {
                     call.pause();
                 }
             },
         },
     });
-    answer.onDrain(() => call.resume());
+    response.onDrain(() => call.resume());
     const { verdict } = await call.end;
-    const told: Verdict = verdict.kind === "complete"
+    const reportedVerdict: Verdict = verdict.kind === "complete"
         ? verdict
         : createMayHaveRun(
             "issuerUnreachable",
             `the gateway that issued the request token: ${verdict.detail}`,
-            askAgainSeconds,
+            outcomeRetrySeconds,
         );
-    answer.finish(told);
-    return told;
+    response.finish(reportedVerdict);
+    return reportedVerdict;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -15,16 +15,16 @@
 import { createHandoverRoute, sendHandover } from "./handover.js";
 import { HttpListener } from "./listener.js";
 import type { GatewaySettings } from "./settings.js";
-import { TokenDesk } from "./tokens.js";
+import { TokenRegistry } from "./tokens.js";
 
-/** Where a gateway listens. */
+/** Addresses on which a gateway listens, each as `host:port`. */
 export interface GatewayAddresses {
     readonly callers: string;
     readonly peers: string;
     readonly metrics: string;
 }
 
-/** Life of a gateway. It is ready for the balancer in `ready` only. */
+/** Lifecycle of a gateway. The readiness probe of the load balancer succeeds only in state `ready`. */
 const gatewayMachine = createMachine("starting", {
     starting: state(transition("offerings", "ready"), transition("stop", "draining")),
     ready: state(transition("stop", "draining")),
@@ -32,18 +32,18 @@
     stopped: state(),
 });
 
-/** Least time between two words of demand, in milliseconds. */
-const demandDelayMs = 10;
+/** Minimum time between two urgent demand messages, in milliseconds. */
+const minDemandIntervalMs = 10;
 
-/** Interval at which expired tokens are forgotten, in milliseconds. */
-const tokenSweepMs = 60_000;
+/** Interval at which expired tokens are removed, in milliseconds. */
+const tokenExpiryIntervalMs = 60_000;
 
-/** Interval at which a draining gateway looks whether requests are left, in milliseconds. */
+/** Interval at which a draining gateway checks for open requests, in milliseconds. */
 const drainPollMs = 20;
 
-/** One gateway: it wires the tasks together and owns no other state than its own life. */
+/** One gateway: connects the tasks and holds only the state of its own lifecycle. */
 export class Gateway {
-    private readonly service = interpret(gatewayMachine, () => {});
+    private readonly lifecycle = interpret(gatewayMachine, () => {});
     private readonly metrics = new GatewayMetrics();
     private readonly fold = new OfferingsFold();
     private readonly incarnation = Date.now();
@@ -54,7 +54,7 @@
     private readonly callers: HttpListener;
     private readonly peers: HttpListener;
     private readonly timers: NodeJS.Timeout[] = [];
-    private tokens: TokenDesk | undefined;
+    private tokens: TokenRegistry | undefined;
     private engines = new Map<string, EngineGrant>();
     private services = new Map<string, ServiceUpstream>();
     private peersAddress = "";
@@ -77,7 +77,7 @@
         this.peers = new HttpListener({ ...settings.peers, routes: [...routes.list(true), handover], onUnknown });
     }
 
-    /** Starts to listen and to serve as soon as offerings are known. */
+    /** Starts listening. The gateway serves requests as soon as it has received offerings. */
     async start(): Promise<GatewayAddresses> {
         const { settings, logger } = this;
         const callers = await this.callers.start();
@@ -86,27 +86,27 @@
         const metrics = await startMetricsServer({
             ...settings.metrics,
             registry: this.metrics.registry,
-            isReady: () => this.service.machine.current === "ready",
+            isReady: () => this.lifecycle.machine.current === "ready",
         });
         this.metricsServer = metrics.server;
         this.control.start();
         this.timers.push(
             setInterval(() => this.sendDemand(false), settings.countsMs),
-            setInterval(() => this.tokens?.expire(), tokenSweepMs),
+            setInterval(() => this.tokens?.expire(), tokenExpiryIntervalMs),
         );
         const addresses = { callers, peers: this.peersAddress, metrics: `${settings.metrics.host}:${metrics.port}` };
         logger.info("listening", addresses);
         return addresses;
     }
 
-    /** A planned stop: nothing under way is cut off. A second call waits for the same stop. */
+    /** Performs a planned stop without interrupting requests in progress. A second call waits for the same stop. */
     drain(): Promise<void> {
         this.draining ??= this.runDrain();
         return this.draining;
     }
 
     private async runDrain(): Promise<void> {
-        this.service.send("stop");
+        this.lifecycle.send("stop");
         this.logger.info("draining");
         await sleep(this.settings.drainDelayMs);
         await this.callers.stop();
@@ -114,12 +114,12 @@
         await this.sendLedgers();
         await this.peers.stop();
         this.stopTasks();
-        this.service.send("drained");
+        this.lifecycle.send("drained");
         this.logger.info("stopped");
     }
 
     private get isStopping(): boolean {
-        return this.service.machine.current === "draining";
+        return this.lifecycle.machine.current === "draining";
     }
 
     private get identity(): NodeIdentity {
@@ -127,7 +127,7 @@
         return { id, role: "gateway", dataCentre, incarnation: this.incarnation, address: this.peersAddress };
     }
 
-    /** Names this gateway's incarnation in request tokens. */
+    /** Identifies this gateway's incarnation in request tokens. */
     private get issuer(): string {
         return formatIncarnation(this.identity);
     }
@@ -183,33 +183,33 @@
         });
     }
 
-    private createTokens(): TokenDesk {
+    private createTokens(): TokenRegistry {
         const { secret, tokenLifeMs, silenceMs } = this.settings;
-        return new TokenDesk({
+        return new TokenRegistry({
             secret,
             issuer: this.issuer,
             address: this.peersAddress,
             lifeMs: tokenLifeMs,
-            forward: (address, request, answer) =>
-                forwardRequest(this.connections, secret, silenceMs, address, request, answer),
+            forward: (address, request, response) =>
+                forwardRequest(this.connections, secret, silenceMs, address, request, response),
         });
     }
 
-    private readTokens(): TokenDesk {
+    private readTokens(): TokenRegistry {
         if (this.tokens === undefined) {
-            throw new Error("a request was taken before the gateway had started");
+            throw new Error("a request was received before the gateway started");
         }
         return this.tokens;
     }
 
-    // What agents say.
+    // Events from agents.
 
     private receiveOfferings(): void {
         const { stallWeight, trialBatchShare } = this.fold.offerings.policy;
         this.engineDispatch.setOptions({ stallWeight, trialBatchShare });
         this.metrics.offeringsVersion.set(this.fold.version);
-        if (this.service.machine.current === "starting" && this.fold.isKnown) {
-            this.service.send("offerings");
+        if (this.lifecycle.machine.current === "starting" && this.fold.isKnown) {
+            this.lifecycle.send("offerings");
             this.logger.info("ready", { offerings: this.fold.version === emptyVersion ? "none" : this.fold.version });
         }
         this.logger.info("offerings in force", { version: this.fold.version });
@@ -219,15 +219,15 @@
         const grants = this.control.leases.listEngines(readInstant());
         this.engines = new Map(grants.map(grant => [grant.id, grant]));
         this.engineDispatch.setEngines(grants.map(grant => {
-            const others = this.control.readOthers(grant.id);
+            const otherInFlight = this.control.readOtherInFlight(grant.id);
             return {
                 id: grant.id,
                 instance: grant.instance,
                 batchRoom: grant.batchRoom,
                 isLeaving: grant.isLeaving,
                 models: grant.models,
-                othersPaying: others.paying,
-                othersTrial: others.trial,
+                othersPaying: otherInFlight.paying,
+                othersTrial: otherInFlight.trial,
             };
         }));
         this.scheduleDemand();
@@ -254,7 +254,7 @@
         }
     }
 
-    /** The first change after a pause is told at once, those that follow it closely travel as one. */
+    /** Sends the first change after a pause at once; changes that follow within the minimum interval are batched. */
     private scheduleDemand(): void {
         if (this.demandTimer !== undefined) {
             return;
@@ -264,7 +264,7 @@
             this.demandTimer = undefined;
             this.demandSentAt = performance.now();
             this.sendDemand(true);
-        }, Math.max(0, demandDelayMs - sinceLastMs));
+        }, Math.max(0, minDemandIntervalMs - sinceLastMs));
     }
 
     private sendDemand(isUrgent: boolean): void {
@@ -295,13 +295,13 @@
             this.issuer,
         );
         if (heir === undefined) {
-            this.logger.warn("no gateway took over the request tokens");
+            this.logger.warn("no other gateway took over the request tokens");
             return;
         }
         this.logger.info("handed over request tokens", { heir });
     }
 
-    /** A gateway that is stopping itself is no heir. */
+    /** Takes over token ledgers. Returns false if this gateway is stopping itself. */
     private receiveHandover(records: readonly LedgerRecord[]): boolean {
         if (this.isStopping) {
             return false;
--- a/packages/gateway/src/handover.ts
+++ b/packages/gateway/src/handover.ts
@@ -8,17 +8,18 @@
 import { checkPeerProof, createPeerProof, handoverPath, peerProofHeader } from "./peers.js";
 import { readBody } from "./request.js";
 
-/** Largest handover, in bytes. */
+/** Maximum size of a handover, in bytes. */
 const maxHandoverBytes = 64 * 1024 * 1024;
 
-/** Longest wait for an heir's answer, in milliseconds. */
-const handoverSilenceMs = 5000;
+/** Maximum time without a byte from the gateway that receives a handover, in milliseconds. */
+const handoverIdleTimeoutMs = 5000;
 
 const recordsSchema = z.array(ledgerRecordSchema);
 
 /**
- * Hands ledgers over to one other gateway and returns its address. Once bytes may have reached a gateway no other is
- * asked: two heirs could both run a request.
+ * Hands token ledgers over to one other gateway (the heir) and returns its address, or undefined if no gateway
+ * confirmed the handover. Once a gateway may have received the handover, no other gateway is tried: two heirs could
+ * both run a request.
  */
 export async function sendHandover(
     connections: UpstreamConnections,
@@ -39,7 +40,7 @@
             path: handoverPath,
             headers: { [peerProofHeader]: createPeerProof(secret, "POST", handoverPath, body, Date.now()) },
             body,
-            silenceMs: handoverSilenceMs,
+            silenceMs: handoverIdleTimeoutMs,
             receiver: {
                 receiveHead: head => {
                     status = head;
@@ -50,8 +51,8 @@
         if (end.kind === "answered" && status === 200) {
             return address;
         }
-        const isUntouched = end.kind === "broken" ? end.phase === "connecting" : status === 503;
-        if (!isUntouched) {
+        const isNotReceived = end.kind === "broken" ? end.phase === "connecting" : status === 503;
+        if (!isNotReceived) {
             return undefined;
         }
     }
@@ -59,8 +60,8 @@
 }
 
 /**
- * Route at which another gateway's ledgers are taken over.
- * @param onRecords Takes the ledgers, or says that this gateway cannot.
+ * Creates the route on which this gateway takes over another gateway's token ledgers.
+ * @param onRecords Takes over the ledgers. Returns false if this gateway cannot.
  */
 export function createHandoverRoute(secret: string, onRecords: (records: readonly LedgerRecord[]) => boolean): Route {
     return {
--- a/packages/gateway/src/leases.ts
+++ b/packages/gateway/src/leases.ts
@@ -5,15 +5,15 @@
     version: number;
     engines: readonly EngineGrant[];
     leaseMs: number;
-    /** When the renewal was sent that the owner answered: the lease counts from there. */
+    /** When the gateway sent the renewal that the owner acknowledged: the lease starts at that moment. */
     renewedAt: Instant;
 }
 
-/** The leases that a gateway holds, by the agent that gave them. Pure: time is handed in. */
+/** The leases that a gateway holds, by the agent that granted them. Reads no clock: callers pass the time. */
 export class LeaseHolder {
     private readonly owners = new Map<string, OwnerLease>();
 
-    /** Takes a grant. Returns whether what is leased may have changed. */
+    /** Applies a grant. Returns whether the leased engines or models may have changed. */
     receiveGrant(agent: string, grant: MessageOf<"grant">, renewedAt: Instant | undefined): boolean {
         const lease = this.owners.get(agent);
         if (grant.engines === undefined) {
@@ -35,12 +35,12 @@
         return true;
     }
 
-    /** Version of the last grant from an agent. */
+    /** Version of the last grant from an agent; 0 without a grant. */
     readVersion(agent: string): number {
         return this.owners.get(agent)?.version ?? 0;
     }
 
-    /** Drops lapsed leases. Returns whether there were any. */
+    /** Drops expired leases. Returns whether any lease had expired. */
     expire(now: Instant): boolean {
         let changed = false;
         for (const [agent, lease] of this.owners) {
@@ -52,7 +52,7 @@
         return changed;
     }
 
-    /** Every engine with a valid lease. Where two agents believe to own one, the higher fencing token counts. */
+    /** Lists every engine with a valid lease. If two agents grant the same engine, the higher fencing token wins. */
     listEngines(now: Instant): EngineGrant[] {
         const engines = new Map<string, EngineGrant>();
         for (const lease of this.owners.values()) {
@@ -69,7 +69,7 @@
         return [...engines.values()];
     }
 
-    /** Whether a request for the model may be written to the engine right now. */
+    /** Whether a request for the model may be sent to the engine at `now`. */
     isLeased(engineId: string, model: string, now: Instant): boolean {
         let engine: EngineGrant | undefined;
         for (const lease of this.owners.values()) {
@@ -84,8 +84,8 @@
         return engine !== undefined && !engine.isLeaving && engine.models.includes(model);
     }
 
-    /** Whether the agent must hear of uses of the engine: it owns it, or nobody known does. */
-    isConcerned(agent: string, engineId: string): boolean {
+    /** Whether the agent may own the engine and is sent its uses: the agent owns it, or no known agent does. */
+    mayOwn(agent: string, engineId: string): boolean {
         let hasOwner = false;
         for (const [owner, lease] of this.owners) {
             const owns = lease.engines.some(engine => engine.id === engineId);
--- a/packages/gateway/src/listener.ts
+++ b/packages/gateway/src/listener.ts
@@ -2,13 +2,13 @@
 import type { AddressInfo } from "node:net";
 import polka, { type Polka } from "polka";
 
-/** Idle time after which the system probes whether a caller's connection still lives, in milliseconds. */
+/** Idle time after which TCP keep-alive probes a caller's connection, in milliseconds. */
 const probeDelayMs = 10_000;
 
-/** What a listener does with a request. `path` is the path with its query. */
+/** Handles a request. `path` includes the query. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse, path: string) => Promise<void>;
 
-/** One route of a listener: a method, or `all`, and polka's pattern. */
+/** One route of a listener: a method (`all` for any) and a path pattern in polka's syntax. */
 export interface Route {
     readonly method: "get" | "post" | "all";
     readonly pattern: string;
@@ -18,14 +18,14 @@
 /** Options of {@link HttpListener}. */
 export interface HttpListenerOptions {
     readonly host: string;
-    /** 0 lets the system choose. */
+    /** 0 lets the operating system choose a free port. */
     readonly port: number;
     readonly routes: readonly Route[];
-    /** Answers what no route matches. */
+    /** Responds to requests that match no route. */
     readonly onUnknown: (response: ServerResponse) => void;
 }
 
-/** An HTTP listener that can stop without cutting a request off. */
+/** An HTTP listener that can stop without interrupting a request. */
 export class HttpListener {
     private readonly server: Server = createServer({ keepAlive: true, keepAliveInitialDelay: probeDelayMs });
     private readonly app: Polka;
@@ -37,14 +37,14 @@
         }
     }
 
-    /** Starts to listen and returns the address. */
+    /** Starts listening and returns the address as `host:port`. */
     async start(): Promise<string> {
         const { host, port } = this.options;
         await new Promise<void>(resolve => this.app.listen(port, host, () => resolve()));
         return `${host}:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** Takes no more connections; settles when every request under way has ended. */
+    /** Accepts no more connections; resolves when every request in progress has ended. */
     async stop(): Promise<void> {
         await new Promise<void>(resolve => {
             this.server.close(() => resolve());
--- a/packages/gateway/src/main.ts
+++ b/packages/gateway/src/main.ts
@@ -16,7 +16,7 @@
 const settings = await loadSettings(file, gatewaySettingsSchema);
 const gateway = new Gateway(settings, createLogger("radishreel-gateway", settings.logFormat));
 for (const signal of ["SIGTERM", "SIGINT"] as const) {
-    // A second signal waits for the same stop: it must not end the process early.
+    // A second signal waits for the stop already in progress and does not end the process early.
     process.on(signal, () => void gateway.drain().then(() => process.exit(0)));
 }
 const addresses = await gateway.start();
--- a/packages/gateway/src/peers.ts
+++ b/packages/gateway/src/peers.ts
@@ -1,23 +1,23 @@
 import { createHash, createHmac, timingSafeEqual } from "node:crypto";
 
-/** Header that proves that a request comes from another gateway of the deployment. */
+/** Header with the proof that a request comes from another gateway of the deployment. */
 export const peerProofHeader = "x-radishreel-peer";
 
-/** Path at which a stopping gateway hands over what became of its request tokens. */
+/** Path to which a stopping gateway posts its request-token ledgers. */
 export const handoverPath = "/peer/handover";
 
-/** Greatest age of a proof, in milliseconds, over the difference between two VMs' clocks. */
+/** Maximum age of a proof, in milliseconds. Includes the difference between the clocks of two VMs. */
 const maxProofAgeMs = 60_000;
 
 /**
- * Proof that a gateway sends this request now. A replay within the proof's life changes nothing: what a forwarded
- * request does is bound to its request token, and a handover is taken once.
+ * Creates a proof that a gateway of the deployment sends this request at `now`. Replaying a request while its proof is
+ * valid changes nothing: a forwarded request runs at most once per request token, and a handover is adopted once.
  */
 export function createPeerProof(secret: string, method: string, path: string, body: Uint8Array, now: number): string {
     return `${now}.${createSignature(secret, method, path, body, now)}`;
 }
 
-/** Checks {@link createPeerProof}. */
+/** Checks a proof that {@link createPeerProof} created. */
 export function checkPeerProof(
     secret: string,
     method: string,
--- a/packages/gateway/src/request.ts
+++ b/packages/gateway/src/request.ts
@@ -5,14 +5,14 @@
 import type { IncomingMessage } from "node:http";
 import readRawBody from "raw-body";
 
-/** Headers of callers. */
+/** Headers that callers may send. */
 export const deadlineHeader = "x-deadline-ms";
 export const requestTokenHeader = "x-request-token";
 
-/** Longest deadline that is accepted, in milliseconds: a day. */
+/** Maximum deadline, in milliseconds: one day. */
 const maxDeadlineMs = 86_400_000;
 
-/** A caller's request, read and attributed. */
+/** A request of a caller, with its body read and its customer identified. */
 export interface CallerRequest {
     readonly id: string;
     readonly method: string;
@@ -22,10 +22,11 @@
     readonly body: Buffer;
     readonly customer: NamedCustomer;
     readonly offerings: OfferingsState;
-    /** On the monotonic clock, in milliseconds. */
+    /** Time of arrival on the monotonic clock, in milliseconds. */
     readonly arrivedAt: number;
+    /** Deadline on the monotonic clock, in milliseconds. */
     readonly deadlineAt: number;
-    /** Another gateway has passed it on. */
+    /** Whether another gateway forwarded the request. */
     readonly isForwarded: boolean;
 }
 
@@ -42,7 +43,7 @@
     return customer === undefined ? err(createRefused("unknownKey", "no customer has this API key")) : ok(customer);
 }
 
-/** Reads the deadline: by when the answer must have been given to an upstream, in milliseconds from now. */
+/** Reads the deadline: the time within which the request must be sent to an upstream, in milliseconds from now. */
 export function readDeadlineMs(
     headers: IncomingMessage["headers"],
     defaultMs: number | undefined,
@@ -66,7 +67,7 @@
     return ok(deadlineMs);
 }
 
-/** Reads the body whole, up to a limit. */
+/** Reads the whole body, up to a limit. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Result<Buffer, RefusedVerdict>> {
     try {
         return ok(await readRawBody(request, { limit: maxBytes, length: request.headers["content-length"] }));
@@ -76,7 +77,7 @@
         return err(
             isTooLarge
                 ? createRefused("oversizedBody", `the body is larger than ${maxBytes} bytes`)
-                : createRefused("malformedBody", "the body did not arrive whole"),
+                : createRefused("malformedBody", "the body is incomplete"),
         );
     }
 }
--- a/packages/gateway/src/run.ts
+++ b/packages/gateway/src/run.ts
@@ -1,29 +1,29 @@
 import type { GatewayMetrics } from "@radishreel/telemetry";
 import type { Attempt } from "@radishreel/upstreams";
 import { createRefused, type Verdict } from "@radishreel/verdict";
-import { askAgainSeconds, type CallerAnswer } from "./caller.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
 import type { ControlTask } from "./control.js";
 import type { DispatchTask, Placement } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
 
-/** What every run needs of the gateway. */
+/** Parts of the gateway that every run uses. */
 export interface RunContext {
     readonly dispatch: DispatchTask;
     readonly control: ControlTask;
     readonly metrics: GatewayMetrics;
-    /** Longest time for which a caller may leave its answer unread, in milliseconds. */
+    /** Maximum time for which a caller may leave its response unread, in milliseconds. */
     readonly callerSilenceMs: number;
-    /** A request was queued or refused: demand has changed. */
+    /** Called when a request was queued or refused, which changes the demand. */
     readonly onArrival: () => void;
-    /** Address of an upstream; undefined once it is not known any more. */
+    /** Returns the address of an upstream, or undefined if the upstream is no longer known. */
     readonly findAddress: (upstreamId: string) => string | undefined;
 }
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 export interface UpstreamEnd {
     readonly verdict: Exclude<Verdict, { kind: "refused"; }>;
     readonly isLeaving: boolean;
-    /** The upstream itself said how it ended. */
+    /** Whether the upstream itself confirmed that the request ended. */
     readonly isSure?: boolean;
 }
 
@@ -31,34 +31,34 @@
 export interface UpstreamRunOptions {
     readonly context: RunContext;
     readonly request: CallerRequest;
-    readonly answer: CallerAnswer;
-    /** The run goes on when its caller goes away, since its outcome is kept. */
-    readonly survivesCaller: boolean;
+    readonly response: CallerResponse;
+    /** Whether the run continues after its caller disconnects, because its outcome is stored for a later retry. */
+    readonly continuesAfterDisconnect: boolean;
 }
 
-/** One request, from its arrival to its verdict, over all its attempts. Only what was not run is tried again. */
+/** One request from its arrival to its verdict, with all its attempts. Only attempts that did not run are retried. */
 export abstract class UpstreamRun {
     readonly verdict: Promise<Verdict>;
     protected readonly request: CallerRequest;
-    protected readonly answer: CallerAnswer;
+    protected readonly response: CallerResponse;
     private readonly context: RunContext;
     private finishRun: (verdict: Verdict) => void = () => {};
     private attempt: Attempt<UpstreamEnd> | undefined;
-    private isCallerGone = false;
+    private hasCallerDisconnected = false;
     private attempts = 0;
     private unreadTimer: NodeJS.Timeout | undefined;
 
     constructor(options: UpstreamRunOptions) {
         this.context = options.context;
         this.request = options.request;
-        this.answer = options.answer;
+        this.response = options.response;
         this.verdict = new Promise(resolve => {
             this.finishRun = resolve;
         });
-        if (!options.survivesCaller) {
-            this.answer.onGone(() => this.cancel());
+        if (!options.continuesAfterDisconnect) {
+            this.response.onDisconnect(() => this.cancel());
         }
-        this.answer.onDrain(() => this.resume());
+        this.response.onDrain(() => this.resume());
     }
 
     /** Starts one attempt at the chosen upstream. */
@@ -67,7 +67,7 @@
     /** Called at the end of each attempt. */
     protected recordEnd(_upstreamId: string, _end: UpstreamEnd): void {}
 
-    /** Queues the request for what it needs. */
+    /** Queues the request for an upstream that serves `model`: a model or, for calls, a service. */
     protected arrive(model: string, prefix?: string): void {
         const { id, customer, arrivedAt, deadlineAt } = this.request;
         this.context.dispatch.arrive(
@@ -86,14 +86,14 @@
         this.context.onArrival();
     }
 
-    /** Passes bytes to the caller, at the caller's speed. */
-    protected passOn(chunk: Buffer): void {
-        if (this.answer.write(chunk)) {
+    /** Forwards bytes to the caller and pauses the upstream while the caller reads too slowly. */
+    protected forwardChunk(chunk: Buffer): void {
+        if (this.response.write(chunk)) {
             return;
         }
         this.attempt?.pause();
         clearTimeout(this.unreadTimer);
-        this.unreadTimer = setTimeout(() => this.answer.cancel(), this.context.callerSilenceMs);
+        this.unreadTimer = setTimeout(() => this.response.cancel(), this.context.callerSilenceMs);
     }
 
     private resume(): void {
@@ -124,27 +124,29 @@
             this.finishRun(verdict);
             return;
         }
-        if (this.isCallerGone) {
+        if (this.hasCallerDisconnected) {
             dispatch.end(id, upstreamId, "cancelled", verdict.reason);
             this.finishRun(verdict);
             return;
         }
         if (verdict.kind === "notRun") {
-            // Either another attempt is dispatched, or the request is refused.
+            // The dispatcher either starts another attempt or refuses the request.
             dispatch.end(id, upstreamId, "notRun", verdict.reason);
             return;
         }
         dispatch.end(id, upstreamId, "mayHaveRun", verdict.reason);
-        this.finishRun({ ...verdict, retryAfterSeconds: askAgainSeconds });
+        this.finishRun({ ...verdict, retryAfterSeconds: outcomeRetrySeconds });
     }
 
     private cancel(): void {
-        this.isCallerGone = true;
+        this.hasCallerDisconnected = true;
         if (this.attempt !== undefined) {
             this.attempt.cancel("callerGone");
             return;
         }
         this.context.dispatch.cancel(this.request.id);
-        this.finishRun(createRefused("callerGone", "the caller went away before its request was sent on"));
+        this.finishRun(
+            createRefused("callerGone", "the caller disconnected before its request was sent to an upstream"),
+        );
     }
 }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -2,36 +2,37 @@
 
 const listenerSchema = z.strictObject({
     host: z.string().default("127.0.0.1"),
-    /** 0 lets the system choose. */
+    /** 0 lets the operating system choose a free port. */
     port: z.number().int().min(0).max(65_535).default(0),
 });
 
-/** Settings of `radishreel-gateway`. Every one is described in docs/reference/settings.md. */
+/** Settings of `radishreel-gateway`. Each setting is described in docs/reference/settings.md. */
 export const gatewaySettingsSchema = z.strictObject({
-    /** Name of this VM's gateway; the same after a restart. */
+    /** Name of this VM's gateway; stays the same after a restart. */
     id: z.string().min(1).max(64),
     dataCentre: z.string().min(1).max(64),
-    /** Shared by all processes of the deployment. */
+    /** Secret shared by all processes of the deployment. */
     secret: z.string().min(16, "expected a secret of at least 16 characters"),
-    /** Addresses of agents to start from; the others are learnt from them. */
+    /** Addresses of the first agents to connect to; these agents report the other agents. */
     agents: z.array(z.string()).min(1),
     callers: listenerSchema.default(listenerSchema.parse({})),
     peers: listenerSchema.default(listenerSchema.parse({})),
     metrics: listenerSchema.default(listenerSchema.parse({})),
-    /** Deadline of requests without one; left out, such requests are refused. */
+    /** Deadline for requests that specify none. If it is not set, requests without a deadline are refused. */
     defaultDeadlineMs: z.number().int().positive().optional(),
     maxBodyBytes: z.number().int().positive().default(1024 * 1024),
-    /** Longest time without a byte from an engine. */
+    /** Maximum time without a byte from an engine. */
     silenceMs: z.number().int().positive().default(10_000),
-    /** Longest time for which a caller may leave its answer unread. */
+    /** Maximum time for which a caller may leave its response unread. */
     callerSilenceMs: z.number().int().positive().default(30_000),
     connectTimeoutMs: z.number().int().positive().default(1000),
-    /** Calls of plain services that run at once on one upstream. */
+    /** Maximum number of concurrent calls on one upstream of a plain service. */
     serviceConcurrency: z.number().int().positive().default(64),
-    /** How long the balancer is given to notice a planned stop. */
+    /** Time for the load balancer to notice a planned stop. */
     drainDelayMs: z.number().int().nonnegative().default(2000),
+    /** Interval between lease renewals. */
     renewMs: z.number().int().positive().default(1000),
-    /** Interval of counts that nobody waits for. */
+    /** Interval at which demand changes that are not urgent are sent to the placer. */
     countsMs: z.number().int().positive().default(5000),
     heartbeatMs: z.number().int().positive().default(1000),
     peerSilenceMs: z.number().int().positive().default(3000),
--- a/packages/gateway/src/tokens.ts
+++ b/packages/gateway/src/tokens.ts
@@ -8,38 +8,38 @@
 } from "@radishreel/tokens";
 import { createMayHaveRun, createRefused, type Verdict } from "@radishreel/verdict";
 import { createHash } from "node:crypto";
-import { askAgainSeconds, type CallerAnswer } from "./caller.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
 import { type CallerRequest, requestTokenHeader } from "./request.js";
 
-/** Options of {@link TokenDesk}. */
-export interface TokenDeskOptions {
+/** Options of {@link TokenRegistry}. */
+export interface TokenRegistryOptions {
     readonly secret: string;
     /** This gateway's incarnation. */
     readonly issuer: string;
     /** This gateway's listener for peers. */
     readonly address: string;
     readonly lifeMs: number;
-    /** Passes a request on to another gateway and answers the caller with what comes back. */
-    readonly forward: (address: string, request: CallerRequest, answer: CallerAnswer) => Promise<Verdict>;
+    /** Forwards a request to another gateway and forwards its response to the caller. */
+    readonly forward: (address: string, request: CallerRequest, response: CallerResponse) => Promise<Verdict>;
 }
 
-/** Largest number of tokens issued at once. */
-export const maxTokensAtOnce = 1000;
+/** Maximum number of tokens that one request may ask for. */
+export const maxTokensPerRequest = 1000;
 
-/** Largest answer that is kept for a caller that lost it, in bytes. */
-export const keptAnswerBytes = 64 * 1024;
+/** Maximum size of a response that is stored for callers that retry with the same token, in bytes. */
+export const maxStoredResponseBytes = 64 * 1024;
 
 /**
- * Sees to it that a request with a token runs at most once: in the gateway that issued the token, or in the heir of
- * its ledger, and nowhere else. See docs/design/at-most-once.md.
+ * Issues request tokens and ensures that a request with a token runs at most once: in the gateway that issued the
+ * token, or in the gateway that took over its ledger (the heir). See docs/design/at-most-once.md.
  */
-export class TokenDesk {
+export class TokenRegistry {
     private readonly issuer: TokenIssuer;
     private readonly ledgers = new Map<string, TokenLedger>();
     private readonly heirs = new Map<string, { address: string; until: number; }>();
     private isSealed = false;
 
-    constructor(private readonly options: TokenDeskOptions) {
+    constructor(private readonly options: TokenRegistryOptions) {
         const { secret, issuer, address, lifeMs } = options;
         this.issuer = new TokenIssuer({ secret, issuer, address, lifeMs });
         this.ledgers.set(issuer, new TokenLedger({ issuer }));
@@ -49,23 +49,23 @@
         return this.issuer.createTokens(customer, count, Date.now());
     }
 
-    /** Runs a request at most once. The answer is finished when this settles. */
-    async runOnce(request: CallerRequest, answer: CallerAnswer, run: () => Promise<Verdict>): Promise<Verdict> {
+    /** Runs a request at most once. The response is finished when the returned promise settles. */
+    async runOnce(request: CallerRequest, response: CallerResponse, run: () => Promise<Verdict>): Promise<Verdict> {
         const text = request.headers[requestTokenHeader];
         const parsed = parseToken(this.options.secret, typeof text === "string" ? text : "");
         if (parsed.isErr()) {
-            return answer.sendFailure(parsed.error);
+            return response.sendFailure(parsed.error);
         }
         const token = parsed.value;
         if (token.customer !== request.customer.name) {
-            return answer.sendFailure(
+            return response.sendFailure(
                 createRefused("requestTokenOfAnother", "the request token was issued to another customer"),
             );
         }
         const ledger = this.isSealed ? undefined : this.ledgers.get(token.issuer);
         return ledger === undefined
-            ? this.forward(token, request, answer)
-            : this.claim(ledger, token, request, answer, run);
+            ? this.forward(token, request, response)
+            : this.claim(ledger, token, request, response, run);
     }
 
     recordHeirs(heirs: readonly { issuer: string; address: string; until: number; }[]): void {
@@ -84,7 +84,7 @@
         this.ledgers.set(record.issuer, ledger);
     }
 
-    /** Ends every ledger here and returns them for an heir. Nothing may run any more. */
+    /** Seals every ledger and returns the records for an heir. No request with a token may run here afterwards. */
     seal(): LedgerRecord[] {
         this.isSealed = true;
         const until = Date.now() + this.issuer.lifeMs;
@@ -107,57 +107,59 @@
         ledger: TokenLedger,
         token: RequestToken,
         request: CallerRequest,
-        answer: CallerAnswer,
+        response: CallerResponse,
         run: () => Promise<Verdict>,
     ): Promise<Verdict> {
         const claim = ledger.claim(token.sequence, createDigest(request), token.expiresAt, Date.now());
         switch (claim.kind) {
             case "mismatch":
-                return answer.sendFailure(
+                return response.sendFailure(
                     createRefused("requestTokenMismatch", "the request token was used for another request"),
                 );
             case "expired":
-                return answer.sendFailure(createMayHaveRun("requestTokenExpired", "the request token has expired"));
+                return response.sendFailure(createMayHaveRun("requestTokenExpired", "the request token has expired"));
             case "inUse": {
-                const detail = "the request is running; show the token again for its answer";
-                return answer.sendFailure(createMayHaveRun("requestTokenInUse", detail, askAgainSeconds));
+                const detail = "the request is running; send the token again to get its response";
+                return response.sendFailure(createMayHaveRun("requestTokenInUse", detail, outcomeRetrySeconds));
             }
             case "spent":
-                return sendOutcome(claim.outcome, answer);
+                return sendOutcome(claim.outcome, response);
             case "granted": {
                 const verdict = await run();
-                recordVerdict(ledger, token, verdict, answer);
-                answer.finish(verdict);
+                recordVerdict(ledger, token, verdict, response);
+                response.finish(verdict);
                 return verdict;
             }
         }
     }
 
-    private async forward(token: RequestToken, request: CallerRequest, answer: CallerAnswer): Promise<Verdict> {
+    private async forward(token: RequestToken, request: CallerRequest, response: CallerResponse): Promise<Verdict> {
         const heir = this.heirs.get(token.issuer);
         if (request.isForwarded && heir === undefined) {
-            return answer.sendFailure(
+            return response.sendFailure(
                 createMayHaveRun("issuerGone", "the gateway that issued the request token is gone"),
             );
         }
         if (request.isForwarded && heir?.address === this.options.address) {
-            return answer.sendFailure(createMayHaveRun("issuerGone", "the heir of the request token has stopped"));
+            return response.sendFailure(
+                createMayHaveRun("issuerGone", "the gateway that took over the request token has stopped"),
+            );
         }
-        return this.options.forward(heir?.address ?? token.address, request, answer);
+        return this.options.forward(heir?.address ?? token.address, request, response);
     }
 }
 
-/** The request as the caller made it, so that a token serves no other. */
+/** Digest of method, path and body, so that a token cannot be used for a different request. */
 function createDigest(request: CallerRequest): string {
     return createHash("sha256").update(JSON.stringify([request.method, request.path])).update(request.body).digest(
         "base64url",
     );
 }
 
-function recordVerdict(ledger: TokenLedger, token: RequestToken, verdict: Verdict, answer: CallerAnswer): void {
+function recordVerdict(ledger: TokenLedger, token: RequestToken, verdict: Verdict, response: CallerResponse): void {
     switch (verdict.kind) {
         case "complete":
-            ledger.recordOutcome(token.sequence, { kind: "complete", answer: answer.readCaptured() });
+            ledger.recordOutcome(token.sequence, { kind: "complete", answer: response.readCaptured() });
             return;
         case "mayHaveRun":
             ledger.recordOutcome(token.sequence, { kind: "mayHaveRun", verdict });
@@ -168,17 +170,17 @@
     }
 }
 
-/** Answers with the outcome of the one run. */
-function sendOutcome(outcome: TokenOutcome, answer: CallerAnswer): Verdict {
+/** Sends the stored outcome of a request that has already run. */
+function sendOutcome(outcome: TokenOutcome, response: CallerResponse): Verdict {
     if (outcome.kind === "mayHaveRun") {
-        return answer.sendFailure(outcome.verdict);
+        return response.sendFailure(outcome.verdict);
     }
     if (outcome.answer === undefined) {
-        return answer.sendFailure(
-            createMayHaveRun("requestTokenSpent", "the request has run; its answer was too large to keep"),
+        return response.sendFailure(
+            createMayHaveRun("requestTokenSpent", "the request has run; its response was too large to store"),
         );
     }
     const { status, contentType, body } = outcome.answer;
-    answer.send(status, contentType, Buffer.from(body));
+    response.send(status, contentType, Buffer.from(body));
     return { kind: "complete" };
 }
--- a/packages/gateway/src/uses.ts
+++ b/packages/gateway/src/uses.ts
@@ -8,13 +8,13 @@
     trial: number;
 }
 
-/** Counts the requests that run, or may still run, by engine and model. */
+/** Counts the requests that run, or may still run, per engine and model. */
 export class UseCounter {
     private readonly uses = new Map<string, MutableUse>();
-    /** Uses that ended without the engine's word, and the renewal that must tell of them. */
-    private readonly unsure = new Map<string, { use: Use; since: number; }>();
+    /** Uses whose end the engine did not confirm, and the first renewal that reports them. */
+    private readonly unconfirmed = new Map<string, { use: Use; since: number; }>();
 
-    /** Counts a request from its dispatch on. */
+    /** Counts a request that is being dispatched. */
     add(engineId: string, model: string, customerClass: CustomerClass): void {
         const key = formatKey(engineId, model);
         const use = this.uses.get(key) ?? { engineId, model, paying: 0, trial: 0 };
@@ -23,19 +23,25 @@
     }
 
     /**
-     * Ends a use. Returns whether it was the last of its engine and model.
-     * @param isSure Whether the engine itself said that the request ended.
-     * @param sequence Next renewal, which tells of the use if it is not sure.
+     * Removes a request. Returns whether it was the last request for its engine and model.
+     * @param isConfirmed Whether the engine itself confirmed that the request ended.
+     * @param sequence Sequence of the next renewal, which reports the use if its end is unconfirmed.
      */
-    remove(engineId: string, model: string, customerClass: CustomerClass, isSure: boolean, sequence: number): boolean {
+    remove(
+        engineId: string,
+        model: string,
+        customerClass: CustomerClass,
+        isConfirmed: boolean,
+        sequence: number,
+    ): boolean {
         const key = formatKey(engineId, model);
         const use = this.uses.get(key);
         if (use === undefined) {
             return false;
         }
         use[customerClass]--;
-        if (!isSure) {
-            this.unsure.set(key, { use: { engineId, model, paying: 0, trial: 0 }, since: sequence });
+        if (!isConfirmed) {
+            this.unconfirmed.set(key, { use: { engineId, model, paying: 0, trial: 0 }, since: sequence });
         }
         const isLast = use.paying + use.trial === 0;
         if (isLast) {
@@ -48,20 +54,20 @@
         return [...this.uses.values()].map(use => ({ ...use }));
     }
 
-    listUnsure(): Use[] {
-        return [...this.unsure.values()].map(({ use }) => use);
+    listUnconfirmed(): Use[] {
+        return [...this.unconfirmed.values()].map(({ use }) => use);
     }
 
-    /** Every owner has been told of what was unsure before the renewal `sequence`. */
-    removeUnsure(sequence: number): void {
-        for (const [key, { since }] of this.unsure) {
+    /** Removes the unconfirmed uses that were reported by renewal `sequence`, which every owner has acknowledged. */
+    removeUnconfirmed(sequence: number): void {
+        for (const [key, { since }] of this.unconfirmed) {
             if (since <= sequence) {
-                this.unsure.delete(key);
+                this.unconfirmed.delete(key);
             }
         }
     }
 
-    /** Own requests by engine. */
+    /** Counts this gateway's requests per engine. */
     readInFlight(): Map<string, { paying: number; trial: number; }> {
         const totals = new Map<string, { paying: number; trial: number; }>();
         for (const use of this.uses.values()) {
--- a/packages/gateway/test/uses.test.ts
+++ b/packages/gateway/test/uses.test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { UseCounter } from "../src/uses.js";
 
-test("requests are counted from dispatch to end, by engine", () => {
+test("requests are counted per engine from their dispatch to their end", () => {
     const uses = new UseCounter();
     uses.add("x", "a@1", "paying");
     uses.add("x", "b@1", "trial");
@@ -12,14 +12,14 @@
     assert.equal(uses.list().map(use => `${use.engineId} ${use.model}`), ["x b@1", "y a@1"]);
 });
 
-test("a use that ended without the engine's word is told until a later renewal was answered", () => {
+test("a use whose end the engine did not confirm is reported until a renewal with it is acknowledged", () => {
     const uses = new UseCounter();
     uses.add("x", "a@1", "paying");
     uses.remove("x", "a@1", "paying", false, 7);
-    uses.removeUnsure(6);
-    assert.is(uses.listUnsure().length, 1);
-    uses.removeUnsure(7);
-    assert.is(uses.listUnsure().length, 0);
+    uses.removeUnconfirmed(6);
+    assert.is(uses.listUnconfirmed().length, 1);
+    uses.removeUnconfirmed(7);
+    assert.is(uses.listUnconfirmed().length, 0);
 });
 
 test.run();
--- a/packages/gateway/test/world.ts
+++ b/packages/gateway/test/world.ts
@@ -3,28 +3,28 @@
 import { LeaseHolder } from "../src/leases.js";
 import { UseCounter } from "../src/uses.js";
 
-/** Faults of one run of {@link LeaseWorld}, each drawn anew by the test. */
+/** Faults of one run of {@link LeaseSimulation}. */
 export interface LeaseFaults {
-    /** The engine takes orders whatever their token. */
+    /** Whether the engine accepts orders with any fencing token. */
     readonly ignoresFence: boolean;
-    /** Greatest delay of a message, in milliseconds. */
+    /** Maximum delay of a message, in milliseconds. */
     readonly maxDelayMs: number;
-    /** Share of orders whose answer is lost. */
-    readonly lostAnswers: number;
+    /** Share of orders whose outcome is lost. */
+    readonly lostOutcomeShare: number;
 }
 
-/** Rules that a test breaks on purpose, to see that the invariant is really checked. */
+/** Rules that a test breaks on purpose, to show that the simulation detects a violation. */
 export interface BrokenRules {
-    readonly evictsAtOnce?: boolean;
+    readonly evictsImmediately?: boolean;
 }
 
 const leaseMs = 300;
 const reportLagMs = 50;
-const maxHoldMs = 50;
+const maxOrderDelayMs = 50;
 const models = ["a@1", "b@1", "c@1", "d@1"];
 const engineId = "engine";
 
-interface WorldEvent {
+interface SimulatedEvent {
     readonly at: number;
     readonly order: number;
     readonly run: () => void;
@@ -36,12 +36,12 @@
     readonly fence: number;
 }
 
-/** An engine that keeps to its protocol, and records what must never happen. */
-class ModelEngine {
+/** An engine that follows its protocol and records evictions of models in use. */
+class SimulatedEngine {
     fence = 0;
     readonly loaded = new Set<string>();
     readonly running = new Map<string, number>();
-    readonly unsafe: string[] = [];
+    readonly unsafeEvictions: string[] = [];
 
     constructor(private readonly ignoresFence: boolean) {}
 
@@ -58,7 +58,7 @@
         }
         if (order.type === "evict") {
             if ((this.running.get(order.model) ?? 0) > 0) {
-                this.unsafe.push(order.model);
+                this.unsafeEvictions.push(order.model);
             }
             this.loaded.delete(order.model);
         }
@@ -66,39 +66,39 @@
     }
 }
 
-interface Gateway {
+interface SimulatedGateway {
     readonly name: string;
     readonly leases: LeaseHolder;
     readonly uses: UseCounter;
     sequence: number;
     readonly sentAt: Map<number, number>;
-    /** Last renewal that each agent has answered. */
-    readonly answered: Map<string, number>;
+    /** Sequence of the last renewal that each agent has acknowledged. */
+    readonly acknowledged: Map<string, number>;
     pausedUntil: number;
 }
 
-interface Agent {
+interface SimulatedAgent {
     readonly name: string;
     readonly owner: Owner;
     owns: boolean;
     pausedUntil: number;
-    /** Last renewal of each gateway that it has received. */
+    /** Sequence of the last renewal received from each gateway. */
     readonly received: Map<string, number>;
 }
 
-/** Two agents that may both believe to own one engine, and gateways that use it, in virtual time. */
-export class LeaseWorld {
+/** Simulates two agents that may both believe they own one engine, and gateways that use it, in virtual time. */
+export class LeaseSimulation {
     now = 0;
     dispatched = 0;
     evicted = 0;
-    private readonly engine: ModelEngine;
-    private readonly agents: Agent[];
-    private readonly gateways: Gateway[];
-    private readonly events = new TinyQueue<WorldEvent>(
+    private readonly engine: SimulatedEngine;
+    private readonly agents: SimulatedAgent[];
+    private readonly gateways: SimulatedGateway[];
+    private readonly events = new TinyQueue<SimulatedEvent>(
         [],
         (left, right) => left.at - right.at || left.order - right.order,
     );
-    private readonly cuts = new Map<string, number>();
+    private readonly linkCutUntil = new Map<string, number>();
     private order = 0;
 
     constructor(
@@ -106,7 +106,7 @@
         private readonly faults: LeaseFaults,
         private readonly broken: BrokenRules = {},
     ) {
-        this.engine = new ModelEngine(faults.ignoresFence);
+        this.engine = new SimulatedEngine(faults.ignoresFence);
         this.agents = ["one", "two"].map(name => ({
             name,
             owner: new Owner({ identity: name, leaseMs, reportLagMs }),
@@ -120,16 +120,16 @@
             uses: new UseCounter(),
             sequence: 0,
             sentAt: new Map(),
-            answered: new Map(),
+            acknowledged: new Map(),
             pausedUntil: 0,
         }));
     }
 
     get unsafeEvictions(): readonly string[] {
-        return this.engine.unsafe;
+        return this.engine.unsafeEvictions;
     }
 
-    /** Runs for a while with everything that can go wrong going wrong at random. */
+    /** Runs for `durationMs` of virtual time with random faults. */
     run(durationMs: number): void {
         this.setOwner(0, true);
         for (let at = 10; at < durationMs; at += 10) {
@@ -149,7 +149,7 @@
         for (const agent of this.agents) {
             this.decide(agent, { type: "tick" });
             if (this.now % 50 === 0) {
-                this.askEngine(agent);
+                this.askEngineStatus(agent);
             }
             if (agent.owns && this.random() < 0.2) {
                 const action = this.random() < 0.3 ? "load" : "evict";
@@ -172,21 +172,21 @@
     }
 
     private runFault(): void {
-        const dice = this.random();
-        if (dice < 0.003) {
+        const draw = this.random();
+        if (draw < 0.003) {
             this.agents[Math.floor(this.random() * 2)]!.pausedUntil = this.now + this.random() * 3 * leaseMs;
         }
-        else if (dice < 0.006) {
+        else if (draw < 0.006) {
             this.gateways[Math.floor(this.random() * 2)]!.pausedUntil = this.now + this.random() * 3 * leaseMs;
         }
-        else if (dice < 0.009) {
+        else if (draw < 0.009) {
             const index = Math.floor(this.random() * 2);
             this.setOwner(index, !this.agents[index]!.owns);
         }
-        else if (dice < 0.015) {
+        else if (draw < 0.015) {
             const agent = this.agents[Math.floor(this.random() * 2)]!;
             const gateway = this.gateways[Math.floor(this.random() * 2)]!;
-            this.cuts.set(`${agent.name} ${gateway.name}`, this.now + this.random() * 3 * leaseMs);
+            this.linkCutUntil.set(`${agent.name} ${gateway.name}`, this.now + this.random() * 3 * leaseMs);
         }
     }
 
@@ -196,9 +196,9 @@
         this.decide(agent, owns ? { type: "own", engineId, address: engineId } : { type: "disown", engineId });
     }
 
-    // Processes. What reaches a paused one is taken when it goes on.
+    // Processes. A paused process receives its events when it resumes.
 
-    private decide(agent: Agent, event: OwnerEvent): void {
+    private decide(agent: SimulatedAgent, event: OwnerEvent): void {
         if (this.now < agent.pausedUntil) {
             if (event.type !== "tick") {
                 this.schedule(agent.pausedUntil, () => this.decide(agent, event));
@@ -206,14 +206,14 @@
             return;
         }
         for (const command of agent.owner.decide(event, this.now)) {
-            this.carryOut(agent, command);
+            this.runCommand(agent, command);
         }
-        if (this.broken.evictsAtOnce && event.type === "order" && event.action === "evict") {
+        if (this.broken.evictsImmediately && event.type === "order" && event.action === "evict") {
             this.sendOrder(agent, { type: "evict", model: event.model, fence: this.engine.fence }, () => {});
         }
     }
 
-    private carryOut(agent: Agent, command: OwnerCommand): void {
+    private runCommand(agent: SimulatedAgent, command: OwnerCommand): void {
         switch (command.type) {
             case "claim":
                 this.sendOrder(
@@ -249,26 +249,30 @@
                 });
                 return;
             case "publish":
-                // As the agent does: with the last renewal that it has received, which may be long ago.
+                // The real agent does the same: it grants for the last renewal received, which may be old.
                 this.gateways.forEach(gateway => this.sendGrant(agent, gateway, agent.received.get(gateway.name) ?? 0));
                 return;
             case "refuse":
         }
     }
 
-    /** An order may be written late, arrive late, and lose its answer. */
-    private sendOrder(agent: Agent, order: Order, done: (result: "done" | "stale" | "failed" | "lost") => void): void {
+    /** An order may be sent late, may arrive late, and its outcome may be lost. */
+    private sendOrder(
+        agent: SimulatedAgent,
+        order: Order,
+        done: (result: "done" | "stale" | "failed" | "lost") => void,
+    ): void {
         const decidedAt = this.now;
         const write = (): void => {
             if (this.now < agent.pausedUntil) {
                 this.schedule(agent.pausedUntil, write);
                 return;
             }
-            if (this.now - decidedAt >= maxHoldMs) {
+            if (this.now - decidedAt >= maxOrderDelayMs) {
                 done("failed");
                 return;
             }
-            const isLost = this.random() < this.faults.lostAnswers;
+            const isLost = this.random() < this.faults.lostOutcomeShare;
             const delayMs = isLost ? this.random() * 5 * leaseMs : this.readDelay();
             if (isLost) {
                 this.schedule(this.now + 100, () => done("lost"));
@@ -283,7 +287,7 @@
         this.schedule(this.now + this.readDelay(), write);
     }
 
-    private askEngine(agent: Agent): void {
+    private askEngineStatus(agent: SimulatedAgent): void {
         if (this.now < agent.pausedUntil) {
             return;
         }
@@ -307,15 +311,15 @@
 
     // Leases.
 
-    private renew(gateway: Gateway): void {
+    private renew(gateway: SimulatedGateway): void {
         if (this.now < gateway.pausedUntil) {
             return;
         }
         const sequence = ++gateway.sequence;
         gateway.sentAt.set(sequence, this.now);
         for (const agent of this.agents) {
-            const uses = gateway.uses.list().filter(use => gateway.leases.isConcerned(agent.name, use.engineId));
-            const unsure = gateway.uses.listUnsure();
+            const uses = gateway.uses.list().filter(use => gateway.leases.mayOwn(agent.name, use.engineId));
+            const unsure = gateway.uses.listUnconfirmed();
             const grantVersion = gateway.leases.readVersion(agent.name);
             this.sendBetween(agent, gateway, () => {
                 this.receiveRenewal(agent, gateway, sequence, {
@@ -329,7 +333,12 @@
         }
     }
 
-    private receiveRenewal(agent: Agent, gateway: Gateway, sequence: number, event: OwnerEvent): void {
+    private receiveRenewal(
+        agent: SimulatedAgent,
+        gateway: SimulatedGateway,
+        sequence: number,
+        event: OwnerEvent,
+    ): void {
         if (this.now < agent.pausedUntil) {
             this.schedule(agent.pausedUntil, () => this.receiveRenewal(agent, gateway, sequence, event));
             return;
@@ -339,7 +348,7 @@
         this.sendGrant(agent, gateway, sequence);
     }
 
-    private sendGrant(agent: Agent, gateway: Gateway, sequence: number): void {
+    private sendGrant(agent: SimulatedAgent, gateway: SimulatedGateway, sequence: number): void {
         if (this.now < agent.pausedUntil) {
             return;
         }
@@ -353,8 +362,10 @@
                 }
                 const sentAt = gateway.sentAt.get(sequence);
                 const renewedAt = sentAt === undefined ? undefined : { monotonic: sentAt, wall: sentAt };
-                const answered = gateway.answered.set(agent.name, sequence);
-                gateway.uses.removeUnsure(Math.min(...this.agents.map(other => answered.get(other.name) ?? 0)));
+                const acknowledged = gateway.acknowledged.set(agent.name, sequence);
+                gateway.uses.removeUnconfirmed(
+                    Math.min(...this.agents.map(other => acknowledged.get(other.name) ?? 0)),
+                );
                 const known = gateway.leases.readVersion(agent.name);
                 if (version >= known) {
                     gateway.leases.receiveGrant(
@@ -370,10 +381,10 @@
 
     private readonly arrivals = new Map<string, number>();
 
-    /** Messages of one link arrive in order, or not at all while it is cut. */
-    private sendBetween(agent: Agent, gateway: Gateway, run: () => void): void {
+    /** Messages of one link arrive in order; while the link is cut they are lost. */
+    private sendBetween(agent: SimulatedAgent, gateway: SimulatedGateway, run: () => void): void {
         const link = `${agent.name} ${gateway.name}`;
-        if (this.now < (this.cuts.get(link) ?? 0)) {
+        if (this.now < (this.linkCutUntil.get(link) ?? 0)) {
             return;
         }
         const at = Math.max(this.now + this.readDelay(), this.arrivals.get(link) ?? 0);
@@ -383,7 +394,7 @@
 
     // Requests.
 
-    private dispatch(gateway: Gateway): void {
+    private dispatch(gateway: SimulatedGateway): void {
         if (this.now < gateway.pausedUntil) {
             return;
         }
@@ -394,7 +405,7 @@
         }
         gateway.uses.add(engineId, model, "paying");
         this.schedule(this.now + this.readDelay(), () => {
-            // The engine refuses what it does not hold; nothing runs.
+            // The engine refuses a request for a model that it has not loaded; the request does not run.
             const isRun = this.engine.loaded.has(model);
             if (isRun) {
                 this.dispatched++;
@@ -402,7 +413,7 @@
             }
             const durationMs = isRun ? this.random() ** 2 * leaseMs : 0;
             const isSure = this.random() > 0.1;
-            // A caller that goes away ends the use at the gateway before the engine has stopped.
+            // After a caller disconnects, the gateway ends the use before the engine has stopped the request.
             const stopLagMs = isSure ? 0 : this.random() * reportLagMs;
             this.schedule(this.now + durationMs + stopLagMs, () => {
                 if (isRun) {
@@ -416,7 +427,7 @@
         });
     }
 
-    private finish(gateway: Gateway, model: string, isSure: boolean): void {
+    private finish(gateway: SimulatedGateway, model: string, isSure: boolean): void {
         if (this.now < gateway.pausedUntil) {
             this.schedule(gateway.pausedUntil, () => this.finish(gateway, model, isSure));
             return;
