--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -19,33 +19,33 @@
 import type { AgentSettings } from "./settings.js";
 import { UpstreamTask } from "./upstreams.js";
 
-/** Where an agent listens. */
+/** Addresses on which an agent listens, each as `host:port`. */
 export interface AgentAddresses {
     readonly peers: string;
     readonly operators: string;
     readonly metrics: string;
 }
 
-/** Life of an agent. */
+/** Lifecycle of an agent. */
 const agentMachine = createMachine("running", {
     running: state(transition("stop", "stopping")),
     stopping: state(transition("stopped", "stopped")),
     stopped: state(),
 });
 
-/** Wait before a change of progress is told, so that nodes that follow each other closely are told as one. */
+/** Delay before changed progress is sent, in milliseconds, so that changes in quick succession are batched. */
 const progressDelayMs = 100;
 
-/** Time for the last words of a stopping agent to be sent, in milliseconds. */
-const farewellMs = 100;
+/** Time between the `bye` messages of a stopping agent and the end of its links, in milliseconds. */
+const byeDelayMs = 100;
 
-/** Names the placer's part in the choice of who is responsible. */
+/** Keys by which rendezvous hashing chooses the placer and the writer of snapshots among the agents. */
 const placerKey = "placer";
 const snapshotKey = "snapshot";
 
-/** One agent: it wires the tasks together and passes messages between them. */
+/** One agent: connects the tasks and passes messages between them. */
 export class Agent {
-    private readonly service = interpret(agentMachine, () => {});
+    private readonly lifecycle = interpret(agentMachine, () => {});
     private readonly metrics = new AgentMetrics();
     private readonly incarnation = Date.now();
     private readonly configuration: ConfigurationTask;
@@ -57,7 +57,7 @@
     private readonly operators: OperatorListener;
     private readonly syncs = new Map<PeerLink, OfferingsSync>();
     private readonly heirs = new HeirTable();
-    /** Which agent told of an engine last: its owner. */
+    /** Owner of each engine: the agent that last sent a summary of it. */
     private readonly engineOwners = new Map<string, string>();
     private readonly explainer: Explainer;
     private peersAddress = "";
@@ -77,7 +77,7 @@
             selfId: settings.id,
             readOfferings: () => this.configuration.fold.offerings,
             readPlacerId: () => this.placerId,
-            explainHere: model => this.placer.explain(model),
+            explainLocally: model => this.placer.explain(model),
             sendToAgent: (id, message) => this.peers.sendToAgent(id, message),
         });
         this.operators = this.createOperators();
@@ -85,7 +85,7 @@
 
     async start(): Promise<AgentAddresses> {
         const { settings } = this;
-        // The address is known once the listener is up, and the own identity is read for every link after that.
+        // The address is known once the listener is open; each link that is opened later reads it with the identity.
         const port = await this.peers.start();
         this.peersAddress = `${settings.peers.host}:${port}`;
         this.progress.setNode(settings.id, this.configuration.fold.version);
@@ -98,7 +98,7 @@
         const metrics = await startMetricsServer({
             ...settings.metrics,
             registry: this.metrics.registry,
-            isReady: () => this.service.machine.current === "running" && this.configuration.fold.isKnown,
+            isReady: () => this.lifecycle.machine.current === "running" && this.configuration.fold.isKnown,
         });
         this.metricsServer = metrics.server;
         const addresses = {
@@ -110,26 +110,26 @@
         return addresses;
     }
 
-    /** A planned stop: others own the engines at once. A second call waits for the same stop. */
+    /** Performs a planned stop: other agents own the engines at once. A second call waits for the same stop. */
     stop(): Promise<void> {
         this.stopping ??= this.runStop();
         return this.stopping;
     }
 
     private async runStop(): Promise<void> {
-        this.service.send("stop");
+        this.lifecycle.send("stop");
         this.logger.info("stopping");
         this.placer.stop();
         this.owner.stop();
         this.upstreams.stop();
         this.peers.broadcast([...this.peers.listAgentLinks(), ...this.peers.listGatewayLinks()], { type: "bye" });
         await this.operators.stop();
-        await sleep(farewellMs);
+        await sleep(byeDelayMs);
         this.configuration.stop();
         this.peers.stop();
         this.metricsServer?.close();
         clearTimeout(this.progressTimer);
-        this.service.send("stopped");
+        this.lifecycle.send("stopped");
         this.logger.info("stopped");
     }
 
@@ -181,7 +181,7 @@
             onChange: () => this.updateMembership(),
             onLeaving: (upstreamId, instance) => {
                 const message: OutgoingMessage = { type: "leaving", upstreamId, instance };
-                this.peers.broadcast(this.listHomeAgentLinks(), message);
+                this.peers.broadcast(this.listLocalAgentLinks(), message);
             },
         });
     }
@@ -212,7 +212,7 @@
             loadTimeoutMs: this.settings.loadTimeoutMs,
             sendOrder: order => this.sendOrder(order),
             sendToGateways: message => this.peers.broadcast(this.peers.listGatewayLinks(), message),
-            sendToAgents: message => this.peers.broadcast(this.listHomeAgentLinks(), message),
+            sendToAgents: message => this.peers.broadcast(this.listLocalAgentLinks(), message),
             sendShare: message => this.peers.broadcast(this.peers.listAgentLinks(), message),
         });
     }
@@ -244,15 +244,15 @@
 
     // Membership.
 
-    private listHomeAgentLinks(): PeerLink[] {
+    private listLocalAgentLinks(): PeerLink[] {
         return this.peers.listAgentLinks().filter(link => link.peer.dataCentre === this.settings.dataCentre);
     }
 
-    private listForeignAgentLinks(): PeerLink[] {
+    private listRemoteAgentLinks(): PeerLink[] {
         return this.peers.listAgentLinks().filter(link => link.peer.dataCentre !== this.settings.dataCentre);
     }
 
-    /** Agents, gateways or upstreams of the data centre have changed. */
+    /** Applies a change of the agents, gateways or upstreams of the data centre. */
     private updateMembership(): void {
         this.owner.updateOwnership();
         this.updatePlacer();
@@ -271,9 +271,9 @@
     }
 
     private updatePlacer(): void {
-        const known = new Set(this.upstreams.listEngines().map(engine => engine.id));
+        const knownEngineIds = new Set(this.upstreams.listEngines().map(engine => engine.id));
         for (const engineId of this.engineOwners.keys()) {
-            if (!known.has(engineId)) {
+            if (!knownEngineIds.has(engineId)) {
                 this.engineOwners.delete(engineId);
                 this.placer.removeEngine(engineId);
             }
@@ -315,14 +315,14 @@
     }
 
     private setEngineOwner(engineId: string, owner: string): void {
-        const before = this.engineOwners.get(engineId);
+        const previousOwner = this.engineOwners.get(engineId);
         this.engineOwners.set(engineId, owner);
-        if (before !== owner) {
+        if (previousOwner !== owner) {
             this.placer.removeOrders(engineId);
         }
     }
 
-    /** A link that ends may take orders and the words on their end with it, and there is none until the next one opens. */
+    /** Drops the open orders for engines of `owner`: without an open link, orders and their outcomes may be lost. */
     private removeOrders(owner: string): void {
         for (const [engineId, other] of this.engineOwners) {
             if (other === owner) {
@@ -334,7 +334,7 @@
     private sendOrder(order: MessageOf<"order">): void {
         const owner = this.engineOwners.get(order.engineId);
         if (owner === this.settings.id) {
-            // Not from within the decision that gave the order.
+            // Deferred, so that the order does not run inside the decision that issued it.
             setImmediate(() => this.owner.receiveOrder(order));
             return;
         }
@@ -430,7 +430,7 @@
         }
     }
 
-    /** A gateway may take another agent for the placer than the agents themselves do; its demand is passed on once. */
+    /** Applies demand, or forwards it once: a gateway may see a different agent as the placer than the agents do. */
     private receiveDemand(link: PeerLink, message: MessageOf<"demand">): void {
         if (this.placer.isActive) {
             this.receiveForPlacer(link.peer.id, message);
@@ -441,36 +441,39 @@
         }
     }
 
-    /** To this agent another one may still be the placer; it tells the new one when it sees the change itself. */
+    /**
+     * Sends the summaries to the placer that asked for them. An agent that this agent does not yet see as the placer
+     * gets them when this agent detects the change.
+     */
     private receiveAskState(link: PeerLink): void {
         if (link.peer.id === this.placerId) {
             this.sendSummaries();
         }
     }
 
-    /** Summaries cross between data centres on a few links, and reach every agent in two steps. */
+    /** Forwards summaries: they cross between data centres on a few links and reach every agent in two steps. */
     private forward(link: PeerLink, message: MessageOf<"storeShare" | "progress">): void {
-        const isFromHome = link.peer.dataCentre === this.settings.dataCentre;
+        const isFromOwnDataCentre = link.peer.dataCentre === this.settings.dataCentre;
         if (message.dataCentre === this.settings.dataCentre) {
-            if (isFromHome) {
-                this.peers.broadcast(this.listForeignAgentLinks(), message);
+            if (isFromOwnDataCentre) {
+                this.peers.broadcast(this.listRemoteAgentLinks(), message);
             }
             return;
         }
-        if (!isFromHome) {
-            this.peers.broadcast(this.listHomeAgentLinks(), message);
+        if (!isFromOwnDataCentre) {
+            this.peers.broadcast(this.listLocalAgentLinks(), message);
         }
     }
 
     private receiveHeirs(link: PeerLink, heirs: MessageOf<"heirs">["heirs"]): void {
-        const news = this.heirs.receive(heirs, Date.now());
-        if (news.length === 0) {
+        const newHeirs = this.heirs.receive(heirs, Date.now());
+        if (newHeirs.length === 0) {
             return;
         }
         const others = [...this.peers.listAgentLinks(), ...this.peers.listGatewayLinks()].filter(other =>
             other !== link
         );
-        this.peers.broadcast(others, { type: "heirs", heirs: news });
+        this.peers.broadcast(others, { type: "heirs", heirs: newHeirs });
     }
 
     // Offerings.
@@ -522,16 +525,16 @@
         }
     }
 
-    private toldProgress = "";
+    private lastSentProgress = "";
 
     private scheduleProgress(): void {
         this.progressTimer ??= setTimeout(() => {
             this.progressTimer = undefined;
             const progress = this.progress.readOwn();
             const text = JSON.stringify(progress);
-            if (text !== this.toldProgress) {
-                this.toldProgress = text;
-                this.peers.broadcast(this.listForeignAgentLinks(), progress);
+            if (text !== this.lastSentProgress) {
+                this.lastSentProgress = text;
+                this.peers.broadcast(this.listRemoteAgentLinks(), progress);
             }
         }, progressDelayMs);
     }
--- a/packages/agent/src/backoff.ts
+++ b/packages/agent/src/backoff.ts
@@ -1,12 +1,18 @@
 /** Options of {@link Backoff}. */
 export interface BackoffOptions {
-    /** @default 100 */
+    /**
+     * First wait, in milliseconds.
+     * @default 100
+     */
     readonly minMs?: number;
-    /** @default 5000 */
+    /**
+     * Maximum wait, in milliseconds.
+     * @default 5000
+     */
     readonly maxMs?: number;
 }
 
-/** Waits that double with each failure, with jitter, so that many nodes do not come back in step. */
+/** Exponential backoff with jitter, so that many nodes do not retry at the same time. */
 export class Backoff {
     private readonly minMs: number;
     private readonly maxMs: number;
@@ -18,7 +24,7 @@
         this.nextMs = this.minMs;
     }
 
-    /** Wait after another failure, in milliseconds. */
+    /** Returns the wait after another failure, in milliseconds. */
     readNextMs(): number {
         const waitMs = this.nextMs * (0.5 + Math.random() / 2);
         this.nextMs = Math.min(this.nextMs * 2, this.maxMs);
--- a/packages/agent/src/configuration.ts
+++ b/packages/agent/src/configuration.ts
@@ -15,9 +15,9 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { Backoff } from "./backoff.js";
 
-/** An apply as an operator asks for it. */
+/** An apply that an operator requested. */
 export interface ApplyRequest {
-    /** Chosen by the operator's command; the same when it asks again. */
+    /** Chosen by the operator's command, which uses the same id when it retries. */
     readonly applyId: string;
     readonly base: number;
     readonly digest: string;
@@ -25,13 +25,13 @@
     readonly change: Change;
 }
 
-/** What became of an apply. */
+/** Outcome of an apply. */
 export type ApplyResult =
     | { readonly kind: "accepted"; readonly version: number; }
     | { readonly kind: "void"; readonly reason: string; }
-    /** The log took nothing: the change is not in force and never will be by itself. */
+    /** The log did not accept the record: the change will not come into force without another apply. */
     | { readonly kind: "notInForce"; readonly message: string; }
-    /** The log may have taken it, and cannot be read. */
+    /** The log may have accepted the record, and cannot be read. */
     | { readonly kind: "unknown"; readonly message: string; };
 
 /** Options of {@link ConfigurationTask}. */
@@ -41,26 +41,26 @@
     readonly snapshotMs: number;
     readonly metrics: AgentMetrics;
     readonly logger: Logger;
-    /** The version in force has changed. */
+    /** Called when the version in force has changed. */
     readonly onChange: () => void;
-    /** Whether this agent is the one to write snapshots. */
+    /** Whether this agent is the one that writes snapshots. */
     readonly isSnapshotWriter: () => boolean;
 }
 
-/** Longest time for which an apply looks for its own record, in milliseconds. */
+/** Maximum time for which an apply waits for its record to appear in the log, in milliseconds. */
 const applyTimeoutMs = 5000;
 
-/** Interval at which the age of the last snapshot is looked at, in milliseconds. */
+/** Interval at which the age of the last snapshot is checked, in milliseconds. */
 const snapshotCheckMs = 1000;
 
-/** Follows the log's offerings and appends to them. */
+/** Follows the offerings in the log and appends changes and snapshots. */
 export class ConfigurationTask {
     readonly fold = new OfferingsFold();
     private readonly changes = new EventEmitter();
     private readonly stopping = new AbortController();
     private isLogDown = false;
     private isSnapshotting = false;
-    /** Every record of the log has been folded at least once. */
+    /** Whether every record of the log has been folded at least once. */
     private isLogRead = false;
     private timer: NodeJS.Timeout | undefined;
 
@@ -78,35 +78,35 @@
         clearInterval(this.timer);
     }
 
-    /** Whether the log answered last time. */
+    /** Whether the last read of the log succeeded. */
     get isLogReachable(): boolean {
         return !this.isLogDown;
     }
 
-    /** A peer brought a newer version. */
+    /** Handles a newer version that a peer sent. */
     recordPeerChange(): void {
         this.receiveVersion("peer");
     }
 
-    /** Appends an apply and finds out what became of it, also when the append's answer is lost. */
+    /** Appends an apply and determines its outcome, also when the response to the append is lost. */
     async apply(request: ApplyRequest): Promise<ApplyResult> {
         const deadline = performance.now() + applyTimeoutMs;
         const record: ApplyRecord = { kind: "apply", ...request, at: Date.now() };
         let mayBeAppended = false;
         while (performance.now() < deadline) {
-            const known = this.fold.findOutcome(request.applyId);
-            if (known !== undefined) {
-                return createResult(known);
+            const knownOutcome = this.fold.findOutcome(request.applyId);
+            if (knownOutcome !== undefined) {
+                return createResult(knownOutcome);
             }
             const appended = await this.append(record);
             if (appended.kind === "notDone") {
-                // An append that was given up before may still take effect.
+                // An earlier append with an unknown outcome may still take effect.
                 return mayBeAppended
                     ? { kind: "unknown", message: appended.message }
-                    : { kind: "notInForce", message: `the log did not take it: ${appended.message}` };
+                    : { kind: "notInForce", message: `the log did not accept the record: ${appended.message}` };
             }
             mayBeAppended = true;
-            // With or without an answer to the append, the record itself is what counts.
+            // The record in the log decides the outcome, not the response to the append.
             const outcome = await this.waitForOutcome(
                 request.applyId,
                 appended.kind === "done" ? appended.offset : undefined,
@@ -118,7 +118,7 @@
         }
         return {
             kind: "unknown",
-            message: "the log may have taken it, but cannot be read; ask again with the same apply id",
+            message: "the log may have accepted the record but cannot be read; retry with the same apply id",
         };
     }
 
@@ -130,12 +130,12 @@
             const page = await this.options.log.read(offeringsStream, this.fold.nextOffset, this.options.logWaitMs);
             if (page.isErr()) {
                 this.options.metrics.logFailures.inc({ operation: "read" });
-                this.recordReachable(false, page.error.message);
+                this.recordLogReachability(false, page.error.message);
                 await sleep(backoff.readNextMs(), undefined, { signal: this.stopping.signal }).catch(() => undefined);
                 continue;
             }
             backoff.recordSuccess();
-            this.recordReachable(true, "");
+            this.recordLogReachability(true, "");
             const { version, isKnown } = this.fold;
             this.fold.foldPage(page.value);
             this.isLogRead = this.fold.nextOffset >= page.value.end;
@@ -146,7 +146,7 @@
         }
     }
 
-    private recordReachable(isReachable: boolean, message: string): void {
+    private recordLogReachability(isReachable: boolean, message: string): void {
         if (isReachable !== this.isLogDown) {
             return;
         }
@@ -181,7 +181,7 @@
         return { kind: "done", offset };
     }
 
-    /** Waits until the record is folded, or until the log was read past where it would stand. */
+    /** Waits until the record is folded, or until the log has been read past the position where it would be. */
     private async waitForOutcome(
         applyId: string,
         offset: number | undefined,
@@ -193,7 +193,7 @@
             if (outcome !== undefined) {
                 return outcome;
             }
-            const isPast = offset === undefined ? await this.isReadToEnd(start) : this.fold.nextOffset > offset;
+            const isPast = offset === undefined ? await this.isFoldedToEnd(start) : this.fold.nextOffset > offset;
             if (isPast) {
                 return this.fold.findOutcome(applyId);
             }
@@ -203,15 +203,15 @@
         return undefined;
     }
 
-    /** Whether everything that the log holds now is folded, read after the append was given up. */
-    private async isReadToEnd(start: number): Promise<boolean> {
+    /** Whether every record that the log holds now is folded. Called after an append whose outcome is unknown. */
+    private async isFoldedToEnd(start: number): Promise<boolean> {
         const page = await this.options.log.read(offeringsStream, start, 0);
         return page.isOk() && this.fold.nextOffset >= page.value.end;
     }
 
     private async writeSnapshot(): Promise<void> {
         const { oldestNeededAt, version } = this.fold;
-        // A version that came from a peer, of which the log holds nothing any more, is due at once.
+        // A version received from a peer whose records the log no longer holds is written at once.
         const isLost = oldestNeededAt === undefined && version !== emptyVersion && this.isLogRead;
         const isDue = isLost || (oldestNeededAt !== undefined && Date.now() - oldestNeededAt > this.options.snapshotMs);
         if (!isDue || this.isSnapshotting || !this.options.isSnapshotWriter()) {
@@ -233,7 +233,7 @@
     }
 }
 
-/** Interval at which a lost append is looked for, in milliseconds. */
+/** Interval at which an apply checks whether its record was folded, in milliseconds. */
 const applyPollMs = 100;
 
 type AppendResult =
--- a/packages/agent/src/heirs.ts
+++ b/packages/agent/src/heirs.ts
@@ -1,20 +1,22 @@
 import type { MessageOf } from "@radishreel/protocol";
 
-/** The gateway that answers for the request tokens of one that has stopped. */
+/** A gateway that took over the request tokens of a stopped gateway. */
 export type Heir = MessageOf<"heirs">["heirs"][number];
 
-/** Knows every heir until the last token it answers for has expired. */
+/** Stores every heir until the last token that it took over has expired. */
 export class HeirTable {
     private readonly heirs = new Map<string, Heir>();
 
-    /** Takes heirs and returns those that are news. `now` is in milliseconds since 1970. */
+    /** Stores heirs and returns the new or changed ones. `now` is in milliseconds since 1970. */
     receive(heirs: readonly Heir[], now: number): Heir[] {
-        const news = heirs.filter(heir => heir.until > now && this.heirs.get(heir.issuer)?.address !== heir.address);
-        news.forEach(heir => this.heirs.set(heir.issuer, heir));
-        return news;
+        const newHeirs = heirs.filter(heir =>
+            heir.until > now && this.heirs.get(heir.issuer)?.address !== heir.address
+        );
+        newHeirs.forEach(heir => this.heirs.set(heir.issuer, heir));
+        return newHeirs;
     }
 
-    /** Every heir that still answers for a token. */
+    /** Lists the heirs that still have tokens which have not expired. `now` is in milliseconds since 1970. */
     list(now: number): Heir[] {
         for (const [issuer, { until }] of this.heirs) {
             if (until <= now) {
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -16,7 +16,7 @@
 const settings = await loadSettings(file, agentSettingsSchema);
 const agent = new Agent(settings, createLogger("radishreel-agent", settings.logFormat));
 for (const signal of ["SIGTERM", "SIGINT"] as const) {
-    // A second signal waits for the same stop: it must not end the process early.
+    // A second signal waits for the stop already in progress and does not end the process early.
     process.on(signal, () => void agent.stop().then(() => process.exit(0)));
 }
 const addresses = await agent.start();
--- a/packages/agent/src/operators.ts
+++ b/packages/agent/src/operators.ts
@@ -9,7 +9,7 @@
 import type { ApplyRequest, ApplyResult } from "./configuration.js";
 import type { Progress } from "./progress.js";
 
-/** What an agent tells operators of itself. */
+/** Status of an agent, for operators. */
 export interface AgentStatus {
     readonly id: string;
     readonly dataCentre: string;
@@ -24,15 +24,15 @@
     readonly progress: readonly Progress[];
 }
 
-/** An apply's result, with where it is in force. */
+/** Result of an apply, with the progress of each data centre. */
 export interface AppliedReport {
     readonly result: ApplyResult;
     readonly progress: readonly Progress[];
-    /** Data centres of which it is not known that every node has the version. */
+    /** Data centres in which some node is not known to have the version. */
     readonly behind: readonly string[];
 }
 
-/** What operators may ask of an agent. */
+/** Actions that operators may request from an agent. */
 export interface OperatorActions {
     readStatus(): AgentStatus;
     readOfferings(): { version: number; digest: string; offerings: Offerings; };
@@ -50,7 +50,7 @@
     readonly logger: Logger;
 }
 
-/** Largest apply, in bytes: 130,000 adapters fit many times. */
+/** Maximum size of an apply, in bytes: several times the size of 130,000 adapters. */
 const maxApplyBytes = 256 * 1024 * 1024;
 
 const applySchema = z.strictObject({
@@ -63,13 +63,13 @@
 
 type Handler = (request: IncomingMessage, query: URLSearchParams) => Promise<{ status: number; body: unknown; }>;
 
-/** The operators' listener. Every request needs an operator's key. */
+/** HTTP listener for operators. Every request needs an operator's key. */
 export class OperatorListener {
     private readonly server: Server = createServer();
 
     constructor(private readonly options: OperatorListenerOptions) {}
 
-    /** Starts to listen and returns the port. */
+    /** Starts listening and returns the port. */
     async start(): Promise<number> {
         const { host, port, actions } = this.options;
         const app = polka({
@@ -92,7 +92,7 @@
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Takes no more connections; settles when every request has ended. */
+    /** Accepts no more connections; resolves when every request has ended. */
     async stop(): Promise<void> {
         await new Promise<void>(resolve => {
             this.server.close(() => resolve());
@@ -116,7 +116,7 @@
             return false;
         }
         const digest = createHash("sha256").update(key).digest();
-        return this.options.keyDigests.some(known => timingSafeEqual(Buffer.from(known, "hex"), digest));
+        return this.options.keyDigests.some(knownDigest => timingSafeEqual(Buffer.from(knownDigest, "hex"), digest));
     }
 
     private async apply(request: IncomingMessage): Promise<{ status: number; body: unknown; }> {
@@ -138,7 +138,7 @@
             ? { status: 200, body: { upstream: upstreamId, state: "leaving" } }
             : {
                 status: 404,
-                body: { message: `upstream "${upstreamId}" is not known in this data centre, or is leaving already` },
+                body: { message: `upstream "${upstreamId}" is not known in this data centre or is already leaving` },
             };
     }
 }
--- a/packages/agent/src/owning.ts
+++ b/packages/agent/src/owning.ts
@@ -25,35 +25,35 @@
     readonly listAgentIds: () => string[];
     readonly listEngines: () => KnownUpstream[];
     readonly listGatewayLinks: () => PeerLink[];
-    /** What the placer must know of the owned engines has changed. */
+    /** Called when the summaries of the owned engines, which the placer needs, have changed. */
     readonly onSummaries: (summaries: EngineSummary[]) => void;
     readonly onLoadEnded: (engineId: string, model: string, outcome: LoadOutcome) => void;
-    /** An engine said how it is. */
+    /** Called when an engine reported its status. */
     readonly onStatus: (engineId: string, instance: string, state: "live" | "leaving") => void;
 }
 
 interface GatewayState {
-    /** Last renewal that was answered. */
+    /** Sequence of the last renewal that was acknowledged. */
     sequence: number;
-    /** Renewals answered since counts were last sent. */
-    sinceCounts: number;
-    /** Counts that were last sent, by engine. */
-    readonly toldCounts: Map<string, string>;
+    /** Number of renewals received since counts were last sent. */
+    renewalsSinceCounts: number;
+    /** Last counts sent, by engine id. */
+    readonly lastSentCounts: Map<string, string>;
 }
 
-/** Interval at which the owner looks at its clock, in milliseconds. */
+/** Interval of the owner's timer events, in milliseconds. */
 const tickMs = 200;
 
-/** An order is given up if its process was held up for longer than this between deciding and sending, in milliseconds. */
-const maxHoldMs = 500;
+/** Maximum time between deciding and sending an order, in milliseconds. After a longer process pause it is dropped. */
+const maxOrderDelayMs = 500;
 
-/** Counts of requests on engines go to gateways with every so many renewals. */
-const countsEvery = 2;
+/** Number of renewals after which a grant includes the request counts of engines. */
+const renewalsPerCounts = 2;
 
-/** Drives the owner's decisions: asks engines how they are, gives orders, and leases to gateways. */
+/** Drives the owner's decisions: polls the status of engines, sends orders to them and leases them to gateways. */
 export class OwnerTask {
     private readonly owner: Owner;
-    private readonly asked = new Set<string>();
+    private readonly pendingStatusRequests = new Set<string>();
     private readonly gateways = new Map<string, GatewayState>();
     private readonly timers: NodeJS.Timeout[] = [];
     private isPublishing = false;
@@ -67,11 +67,11 @@
     start(): void {
         this.timers.push(
             setInterval(() => this.run({ type: "tick" }), tickMs),
-            setInterval(() => this.askEngines(), this.options.settings.statusMs),
+            setInterval(() => this.askEngineStatuses(), this.options.settings.statusMs),
         );
     }
 
-    /** Gives every engine up; other agents own them from now on. */
+    /** Releases every engine; other agents own the engines from now on. */
     stop(): void {
         this.isStopped = true;
         this.timers.forEach(timer => clearInterval(timer));
@@ -80,17 +80,17 @@
         }
     }
 
-    /** The agents or the engines of the data centre have changed. */
+    /** Applies a change of the agents or the engines of the data centre. */
     updateOwnership(): void {
         if (this.isStopped) {
             return;
         }
         const agents = this.options.listAgentIds();
         const engines = this.options.listEngines();
-        const wanted = new Set<string>();
+        const ownedIds = new Set<string>();
         for (const engine of engines) {
             if (findOwner(engine.id, agents) === this.options.settings.id) {
-                wanted.add(engine.id);
+                ownedIds.add(engine.id);
                 this.run({ type: "own", engineId: engine.id, address: engine.address });
                 if (engine.isLeaving) {
                     this.run({ type: "leaving", engineId: engine.id });
@@ -98,15 +98,15 @@
             }
         }
         for (const engineId of this.owner.listOwned()) {
-            if (!wanted.has(engineId)) {
+            if (!ownedIds.has(engineId)) {
                 this.run({ type: "disown", engineId });
             }
         }
-        this.options.metrics.ownedEngines.set(wanted.size);
-        this.askEngines();
+        this.options.metrics.ownedEngines.set(ownedIds.size);
+        this.askEngineStatuses();
     }
 
-    /** Takes a gateway's renewal and answers it. */
+    /** Handles a gateway's renewal and replies with a grant. */
     receiveRenewal(link: PeerLink, message: MessageOf<"renew">): void {
         const gateway = formatIncarnation(link.peer);
         this.run({
@@ -116,20 +116,20 @@
             uses: message.uses,
             unsure: message.unsure,
         });
-        const state = this.gateways.get(gateway) ?? { sequence: 0, sinceCounts: 0, toldCounts: new Map() };
+        const state = this.gateways.get(gateway) ?? { sequence: 0, renewalsSinceCounts: 0, lastSentCounts: new Map() };
         this.gateways.set(gateway, state);
         state.sequence = message.sequence;
-        state.sinceCounts++;
+        state.renewalsSinceCounts++;
         const isChanged = message.grantVersion !== this.owner.grantVersion;
         link.send(this.createGrant(state, isChanged));
     }
 
-    /** A gateway's link has ended; its leases lapse by themselves. */
+    /** Removes a gateway whose link has closed; its leases expire by themselves. */
     removeGateway(link: PeerLink): void {
         this.gateways.delete(formatIncarnation(link.peer));
     }
 
-    /** Carries out an order of the placer. */
+    /** Executes an order of the placer. */
     receiveOrder(order: MessageOf<"order">): void {
         this.run({ type: "order", action: order.action, engineId: order.engineId, model: order.model });
     }
@@ -138,11 +138,11 @@
         return this.owner.listSummaries();
     }
 
-    /** What has not changed since the gateway was told is left out. */
+    /** Creates a grant. Counts are omitted if they have not changed since they were sent, engines unless `isWhole`. */
     private createGrant(state: GatewayState, isWhole: boolean): OutgoingMessage {
-        const isCounting = state.sinceCounts >= countsEvery;
-        state.sinceCounts = isCounting ? 0 : state.sinceCounts;
-        const counts = isCounting ? this.listChangedCounts(state.toldCounts) : [];
+        const isCounting = state.renewalsSinceCounts >= renewalsPerCounts;
+        state.renewalsSinceCounts = isCounting ? 0 : state.renewalsSinceCounts;
+        const counts = isCounting ? this.listChangedCounts(state.lastSentCounts) : [];
         return {
             type: "grant",
             sequence: state.sequence,
@@ -153,21 +153,21 @@
         };
     }
 
-    private listChangedCounts(told: Map<string, string>): EngineCounts[] {
+    private listChangedCounts(lastSent: Map<string, string>): EngineCounts[] {
         const changed = this.owner.listCounts().filter(({ id, paying, trial }) =>
-            told.get(id) !== `${paying} ${trial}`
+            lastSent.get(id) !== `${paying} ${trial}`
         );
-        changed.forEach(({ id, paying, trial }) => told.set(id, `${paying} ${trial}`));
+        changed.forEach(({ id, paying, trial }) => lastSent.set(id, `${paying} ${trial}`));
         return changed;
     }
 
     private run(event: OwnerEvent): void {
         for (const command of this.owner.decide(event, performance.now())) {
-            this.carryOut(command);
+            this.runCommand(command);
         }
     }
 
-    private carryOut(command: OwnerCommand): void {
+    private runCommand(command: OwnerCommand): void {
         switch (command.type) {
             case "publish":
                 this.schedulePublish();
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Changes made in one step are told as one. */
+    /** Schedules one publication for all changes of the same event-loop step. */
     private schedulePublish(): void {
         if (this.isPublishing) {
             return;
@@ -206,22 +206,22 @@
 
     // Engines.
 
-    private askEngines(): void {
+    private askEngineStatuses(): void {
         const addresses = new Map(this.options.listEngines().map(engine => [engine.id, engine.address]));
         for (const engineId of this.owner.listOwned()) {
             const address = addresses.get(engineId);
-            if (address !== undefined && !this.asked.has(engineId)) {
-                void this.askEngine(engineId, address);
+            if (address !== undefined && !this.pendingStatusRequests.has(engineId)) {
+                void this.askEngineStatus(engineId, address);
             }
         }
     }
 
-    /** At most one question is under way to an engine, so that a silent one is not flooded. */
-    private async askEngine(engineId: string, address: string): Promise<void> {
-        this.asked.add(engineId);
+    /** Requests an engine's status. One request per engine at a time, so that an unresponsive engine is not flooded. */
+    private async askEngineStatus(engineId: string, address: string): Promise<void> {
+        this.pendingStatusRequests.add(engineId);
         const askedAt = performance.now();
         const status = await this.options.orders.readEngineStatus(address);
-        this.asked.delete(engineId);
+        this.pendingStatusRequests.delete(engineId);
         if (status.isErr()) {
             return;
         }
@@ -235,21 +235,22 @@
         });
     }
 
-    /** Whether an order decided at `decidedAt` may still be sent: this process was not paused in between. */
+    /** Returns a check whether an order decided now may still be sent: false after a process pause in between. */
     private createGuard(): () => boolean {
         const decidedAt = performance.now();
         const decidedAtWall = Date.now();
-        return () => performance.now() - decidedAt < maxHoldMs && Math.abs(Date.now() - decidedAtWall) < maxHoldMs;
+        return () =>
+            performance.now() - decidedAt < maxOrderDelayMs && Math.abs(Date.now() - decidedAtWall) < maxOrderDelayMs;
     }
 
     private async claim(engineId: string, address: string, fence: number): Promise<void> {
         const claimed = await this.options.orders.claimEngine(address, fence, this.createGuard());
         if (claimed.isErr()) {
-            // Also when the engine may have taken it: the next claim carries a higher token.
+            // Also after an unknown outcome: the next claim carries a higher fencing token.
             this.run({ type: "fenced", engineId });
             return;
         }
-        this.options.logger.info("owns engine", { engine: engineId, fence });
+        this.options.logger.info("claimed engine", { engine: engineId, fence });
         this.run({ type: "claimed", engineId, fence });
     }
 
--- a/packages/agent/src/peers.ts
+++ b/packages/agent/src/peers.ts
@@ -15,9 +15,9 @@
 /** A link between an agent and another process. */
 export type PeerLink = Link<Message, OutgoingMessage>;
 
-/** What the peer task tells the agent. */
+/** Events that the peer task reports to the agent. */
 export interface PeerEvents {
-    /** Which agents or gateways are connected has changed. */
+    /** The set of connected agents or gateways has changed. */
     onMembership(): void;
     onOpen(link: PeerLink): void;
     onMessage(link: PeerLink, message: Message): void;
@@ -33,23 +33,23 @@
     readonly events: PeerEvents;
 }
 
-/** An entry VM of the platform's list. */
+/** An entry VM in the platform's list of VMs. */
 export interface EntryVm {
     readonly id: string;
     readonly dataCentre: string;
     readonly address: string;
 }
 
-/** Agents of each other data centre that this one keeps a link to. */
-const linksToOtherDataCentre = 2;
+/** Number of links that this agent keeps to each other data centre. */
+const linksPerOtherDataCentre = 2;
 
-/** Owns the agent's links: to every agent of its data centre, to a few of each other one, and from its gateways. */
+/** Manages the agent's links: to all agents of its data centre, to a few in each other one, and from its gateways. */
 export class PeerTask {
     private readonly server: LinkServer<Message, OutgoingMessage>;
     private readonly clients = new Map<string, LinkClient<Message, OutgoingMessage>>();
     private readonly links = new Set<PeerLink>();
     private readonly seeds: ReadonlySet<string>;
-    private listed: readonly EntryVm[] = [];
+    private entryVms: readonly EntryVm[] = [];
 
     constructor(private readonly options: PeerOptions) {
         const { settings, self } = options;
@@ -57,7 +57,7 @@
         this.server = new LinkServer({ ...settings.peers, ...this.createLinkOptions(), self });
     }
 
-    /** Starts to listen and to connect. Returns the port. */
+    /** Starts listening and connecting. Returns the port. */
     async start(): Promise<number> {
         const port = await this.server.start();
         this.updateClients();
@@ -71,13 +71,13 @@
         this.server.stop();
     }
 
-    /** Takes the entry VMs of the platform's list. */
+    /** Sets the entry VMs in the platform's list of VMs. */
     setEntryVms(vms: readonly EntryVm[]): void {
-        this.listed = vms;
+        this.entryVms = vms;
         this.updateClients();
     }
 
-    /** Names of the agents of the own data centre that are connected, and the own one. */
+    /** Lists the ids of the connected agents of the own data centre and of this agent. */
     listAgentIds(): string[] {
         const { id, dataCentre } = this.options.self();
         const ids = new Set([id]);
@@ -89,17 +89,17 @@
         return [...ids];
     }
 
-    /** One open link to each connected agent. */
+    /** Lists one open link to each connected agent. */
     listAgentLinks(): PeerLink[] {
         return this.listLinks("agent");
     }
 
-    /** One open link to each connected gateway. */
+    /** Lists one open link to each connected gateway. */
     listGatewayLinks(): PeerLink[] {
         return this.listLinks("gateway");
     }
 
-    /** Sends to one agent by name. Returns false if it is not connected. */
+    /** Sends a message to one agent by its id. Returns false if the agent is not connected. */
     sendToAgent(id: string, message: OutgoingMessage): boolean {
         return this.listAgentLinks().find(link => link.peer.id === id)?.send(message) ?? false;
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Addresses of the own data centre's agents, for gateways. */
+    /** Lists the addresses of the own data centre's agents, for gateways. */
     listAgentAddresses(): string[] {
         const { dataCentre, address } = this.options.self();
         const linked = this.listAgentLinks().filter(link => link.peer.dataCentre === dataCentre).map(link =>
@@ -129,33 +129,33 @@
         return [...byNode.values()];
     }
 
-    // Whom to connect to.
+    // Outgoing connections.
 
     private updateClients(): void {
-        const wanted = new Set([...this.seeds, ...this.listWantedAddresses()]);
-        wanted.delete(this.options.self().address);
+        const addresses = new Set([...this.seeds, ...this.listAddressesToConnect()]);
+        addresses.delete(this.options.self().address);
         for (const [address, client] of this.clients) {
-            if (!wanted.has(address)) {
+            if (!addresses.has(address)) {
                 client.stop();
                 this.clients.delete(address);
             }
         }
-        for (const address of wanted) {
+        for (const address of addresses) {
             this.openClient(address);
         }
     }
 
-    private listWantedAddresses(): string[] {
+    private listAddressesToConnect(): string[] {
         const { id, dataCentre } = this.options.self();
-        // Of each pair at home one side connects, so that a pair has one link.
-        const home = this.listed.filter(vm => vm.dataCentre === dataCentre && id < vm.id).map(vm => vm.address);
-        const foreign = this.listed.filter(vm => vm.dataCentre !== dataCentre);
-        const dataCentres = new Set(foreign.map(vm => vm.dataCentre));
+        // Of two agents of the data centre only the one with the lower id connects, so that each pair has one link.
+        const local = this.entryVms.filter(vm => vm.dataCentre === dataCentre && id < vm.id).map(vm => vm.address);
+        const remote = this.entryVms.filter(vm => vm.dataCentre !== dataCentre);
+        const dataCentres = new Set(remote.map(vm => vm.dataCentre));
         const chosen = [...dataCentres].flatMap(other => {
-            const addresses = foreign.filter(vm => vm.dataCentre === other).map(vm => vm.address);
-            return rankNodes(id, addresses).slice(0, linksToOtherDataCentre);
+            const addresses = remote.filter(vm => vm.dataCentre === other).map(vm => vm.address);
+            return rankNodes(id, addresses).slice(0, linksPerOtherDataCentre);
         });
-        return [...home, ...chosen];
+        return [...local, ...chosen];
     }
 
     private openClient(address: string): void {
--- a/packages/agent/src/placing.ts
+++ b/packages/agent/src/placing.ts
@@ -18,31 +18,31 @@
     readonly sendToGateways: (message: OutgoingMessage) => void;
     /** Sends to the other agents of the data centre. */
     readonly sendToAgents: (message: OutgoingMessage) => void;
-    /** Tells the placers of other data centres. */
+    /** Sends to all agents whether this data centre wants loads from the store. */
     readonly sendShare: (message: MessageOf<"storeShare">) => void;
 }
 
-/** Interval at which the placer looks at its clock, in milliseconds. */
+/** Interval of the placer's timer events, in milliseconds. */
 const tickMs = 100;
 
-/** Ticks between two words to other data centres. */
+/** Number of ticks between two share messages to other data centres. */
 const ticksPerShare = 10;
 
-/** Ticks between two outlooks that have hardly changed; a gateway that has just come learns it then at the latest. */
+/** Number of ticks between two outlooks that have hardly changed, so that new gateways receive an outlook too. */
 const ticksPerOutlook = 50;
 
-/** Least change of an outlook that is told at once, as a share of the one told before. */
-const outlookChange = 0.25;
+/** Minimum change of an outlook that is sent at once, as a share of the wait that was last sent. */
+const minOutlookChange = 0.25;
 
-/** Drives the placer's decisions while this agent is the one responsible for its data centre. */
+/** Drives the placer's decisions while this agent is the placer of its data centre. */
 export class PlacerTask {
     private placer: Placer | undefined;
     private readonly share: StoreShare;
     private timer: NodeJS.Timeout | undefined;
     private ticks = 0;
     private policy: Policy | undefined;
-    private toldWaitMs = -1;
-    private toldLoading: string | undefined;
+    private lastSentWaitMs = -1;
+    private lastSentLoading: string | undefined;
 
     constructor(private readonly options: PlacerTaskOptions) {
         this.share = new StoreShare({ dataCentre: options.dataCentre, loadsPerSecond: 2, weights: {} });
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Becomes responsible, knowing nothing yet, or ceases to be. Returns whether that is a change.
+     * Starts or stops being the placer. Returns whether this is a change.
      *
-     * A new placer asks for everything: a node that noticed before it that the placer before is gone has told it already,
-     * while it still passed such words on to the one that is gone, and would not tell it again.
+     * A new placer knows nothing and asks all nodes for their state. A node that detected the change earlier sent its
+     * state while this agent still forwarded it to the previous placer, and would not send it again.
      */
     setActive(isActive: boolean): boolean {
         if (isActive === this.isActive) {
@@ -96,12 +96,12 @@
         }
     }
 
-    /** An engine has gone from the list. */
+    /** Removes an engine that is no longer in the list of VMs. */
     removeEngine(engineId: string): void {
         this.run({ type: "engineGone", engineId });
     }
 
-    /** Orders for the engine, or the words on how they ended, may have been lost. */
+    /** Drops the open orders for an engine, because the orders or their outcomes may have been lost. */
     removeOrders(engineId: string): void {
         this.run({ type: "ordersLost", engineId });
     }
@@ -162,11 +162,12 @@
         if (outlook === undefined) {
             return;
         }
-        const isChanged = Math.abs(outlook.payingWaitMs - this.toldWaitMs) > outlookChange * this.toldWaitMs;
-        const isOtherLoad = outlook.loading !== this.toldLoading;
-        if (isChanged || isOtherLoad || this.ticks % ticksPerOutlook === 0) {
-            this.toldWaitMs = outlook.payingWaitMs;
-            this.toldLoading = outlook.loading;
+        const hasWaitChanged =
+            Math.abs(outlook.payingWaitMs - this.lastSentWaitMs) > minOutlookChange * this.lastSentWaitMs;
+        const hasLoadingChanged = outlook.loading !== this.lastSentLoading;
+        if (hasWaitChanged || hasLoadingChanged || this.ticks % ticksPerOutlook === 0) {
+            this.lastSentWaitMs = outlook.payingWaitMs;
+            this.lastSentLoading = outlook.loading;
             this.options.sendToGateways({
                 type: "outlook",
                 payingWaitMs: Math.round(outlook.payingWaitMs),
--- a/packages/agent/src/progress.ts
+++ b/packages/agent/src/progress.ts
@@ -1,15 +1,15 @@
 import type { MessageOf } from "@radishreel/protocol";
 
-/** Most nodes that are named as being behind. */
+/** Maximum number of nodes that are listed as behind. */
 const maxBehind = 8;
 
-/** One data centre's progress, as its last summary gave it. */
+/** Progress of one data centre, from its last summary. */
 export type Progress = MessageOf<"progress">;
 
-/** Knows how far every node is with the offerings: node by node at home, data centre by data centre elsewhere. */
+/** Tracks the offerings version of each node of the own data centre, and the progress of the other data centres. */
 export class ProgressTable {
     private readonly nodes = new Map<string, number>();
-    private readonly others = new Map<string, Progress>();
+    private readonly otherDataCentres = new Map<string, Progress>();
 
     constructor(private readonly dataCentre: string) {}
 
@@ -23,11 +23,11 @@
 
     receive(progress: Progress): void {
         if (progress.dataCentre !== this.dataCentre) {
-            this.others.set(progress.dataCentre, progress);
+            this.otherDataCentres.set(progress.dataCentre, progress);
         }
     }
 
-    /** Progress of the own data centre. */
+    /** Returns the progress of the own data centre. */
     readOwn(): Progress {
         const versions = [...this.nodes.values()];
         const lowestVersion = versions.length === 0 ? -1 : Math.min(...versions);
@@ -36,12 +36,12 @@
         return { type: "progress", dataCentre: this.dataCentre, nodes: this.nodes.size, lowestVersion, behind };
     }
 
-    /** Progress of every data centre that was heard. */
+    /** Lists the progress of the own data centre and of all others that sent a summary. */
     list(): Progress[] {
-        return [this.readOwn(), ...this.others.values()];
+        return [this.readOwn(), ...this.otherDataCentres.values()];
     }
 
-    /** Data centres of `wanted` in which some node is not known to have `version`. */
+    /** Lists the data centres of `wanted` in which some node is not known to have `version`. */
     listBehind(version: number, wanted: readonly string[]): string[] {
         const reached = new Set(
             this.list().filter(progress => progress.lowestVersion >= version).map(progress => progress.dataCentre),
--- a/packages/agent/src/upstreams.ts
+++ b/packages/agent/src/upstreams.ts
@@ -14,20 +14,20 @@
     readonly vmList: VmListClient;
     readonly orders: OrderClient;
     readonly logger: Logger;
-    /** Agents of the data centre that are alive, this one among them. */
+    /** Lists the live agents of the data centre, including this agent. */
     readonly listAgentIds: () => string[];
     readonly onEntryVms: (vms: EntryVm[]) => void;
-    /** The upstreams of the data centre, or what is known of them, changed. */
+    /** Called when the upstreams of the data centre, or their known state, have changed. */
     readonly onChange: () => void;
-    /** This agent was the first here to hear that an upstream leaves. */
+    /** Called when this agent learns that an upstream is leaving. */
     readonly onLeaving: (upstreamId: string, instance: string | undefined) => void;
 }
 
-/** Watches the data centre's upstreams: the platform's list, the word of gateways and peers, and their own status. */
+/** Watches the data centre's upstreams: the platform's list, messages of gateways and peers, and upstream status. */
 export class UpstreamTask {
     private readonly directory: UpstreamDirectory;
     private readonly stopping = new AbortController();
-    private readonly asked = new Set<string>();
+    private readonly pendingStatusRequests = new Set<string>();
     private dataCentres = new Set<string>();
     private timer: NodeJS.Timeout | undefined;
 
@@ -37,7 +37,7 @@
 
     start(): void {
         void this.followList();
-        this.timer = setInterval(() => this.askServices(), this.options.settings.statusMs);
+        this.timer = setInterval(() => this.askServiceStatuses(), this.options.settings.statusMs);
     }
 
     stop(): void {
@@ -45,7 +45,7 @@
         clearInterval(this.timer);
     }
 
-    /** Every data centre of the platform's list. */
+    /** Lists every data centre in the platform's list of VMs. */
     listDataCentres(): string[] {
         return [...this.dataCentres];
     }
@@ -54,7 +54,7 @@
         return this.directory.list().filter(upstream => upstream.kind === "engine");
     }
 
-    /** Service upstreams that this agent watches for the data centre. */
+    /** Lists the service upstreams that this agent watches for the data centre. */
     listOwnServices(): ServiceUpstream[] {
         return this.listOwned().map(({ id, address, service, isLeaving }) => ({
             id,
@@ -64,7 +64,7 @@
         }));
     }
 
-    /** Takes a word that an upstream leaves. Returns whether it was news. */
+    /** Handles a message that an upstream is leaving. Returns false if this was already known. */
     receiveLeaving(upstreamId: string, instance: string | undefined): boolean {
         if (!this.directory.receiveLeaving(upstreamId, instance)) {
             return false;
@@ -75,14 +75,14 @@
         return true;
     }
 
-    /** Takes an upstream's own word. */
+    /** Handles the status that an upstream reported. */
     receiveStatus(upstreamId: string, instance: string, state: "live" | "leaving"): void {
         if (state === "leaving") {
             this.receiveLeaving(upstreamId, instance);
             return;
         }
         if (this.directory.receiveLive(upstreamId, instance)) {
-            this.options.logger.info("upstream is back", { upstream: upstreamId });
+            this.options.logger.info("upstream is live again", { upstream: upstreamId });
             this.options.onChange();
         }
     }
@@ -142,19 +142,19 @@
         );
     }
 
-    private askServices(): void {
+    private askServiceStatuses(): void {
         for (const { id, address } of this.listOwned()) {
-            if (!this.asked.has(id)) {
-                void this.askService(id, address);
+            if (!this.pendingStatusRequests.has(id)) {
+                void this.askServiceStatus(id, address);
             }
         }
     }
 
-    /** At most one question is under way to an upstream, so that a silent one is not flooded. */
-    private async askService(id: string, address: string): Promise<void> {
-        this.asked.add(id);
+    /** Requests a service's status. One request per upstream at a time, so that an unresponsive one is not flooded. */
+    private async askServiceStatus(id: string, address: string): Promise<void> {
+        this.pendingStatusRequests.add(id);
         const status = await this.options.orders.readServiceStatus(address);
-        this.asked.delete(id);
+        this.pendingStatusRequests.delete(id);
         if (status.isOk()) {
             this.receiveStatus(id, status.value.instance, status.value.state);
         }
--- a/packages/agent/test/placing.test.ts
+++ b/packages/agent/test/placing.test.ts
@@ -19,7 +19,7 @@
     });
 }
 
-test("a placer asks for everything each time that it becomes responsible, and only then", () => {
+test("an agent asks all nodes for their state each time that it becomes the placer, and at no other time", () => {
     const sent: Sent[] = [];
     const task = createTask(sent);
     const asked: Sent[] = [
