--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -493,7 +493,7 @@
                 return;
             }
             case "want":
-                sync.receiveWant(message).forEach(answer => link.send(answer));
+                sync.receiveWant(message).forEach(reply => link.send(reply));
                 return;
             case "changes":
                 this.receivePeerChange(sync.receiveChanges(message));
--- a/packages/agent/src/progress.ts
+++ b/packages/agent/src/progress.ts
@@ -41,11 +41,11 @@
         return [this.readOwn(), ...this.otherDataCentres.values()];
     }
 
-    /** Lists the data centres of `wanted` in which some node is not known to have `version`. */
-    listBehind(version: number, wanted: readonly string[]): string[] {
+    /** Lists the data centres of `expected` in which some node is not known to have `version`. */
+    listBehind(version: number, expected: readonly string[]): string[] {
         const reached = new Set(
             this.list().filter(progress => progress.lowestVersion >= version).map(progress => progress.dataCentre),
         );
-        return wanted.filter(dataCentre => !reached.has(dataCentre));
+        return expected.filter(dataCentre => !reached.has(dataCentre));
     }
 }
--- a/packages/gateway/test/world.ts
+++ b/packages/gateway/test/world.ts
@@ -355,9 +355,9 @@
         const engines = agent.owner.listGranted();
         const version = agent.owner.grantVersion;
         this.sendBetween(agent, gateway, () => {
-            const take = (): void => {
+            const deliver = (): void => {
                 if (this.now < gateway.pausedUntil) {
-                    this.schedule(gateway.pausedUntil, take);
+                    this.schedule(gateway.pausedUntil, deliver);
                     return;
                 }
                 const sentAt = gateway.sentAt.get(sequence);
@@ -375,7 +375,7 @@
                     );
                 }
             };
-            take();
+            deliver();
         });
     }
 
