--- a/packages/placement/src/events.ts
+++ b/packages/placement/src/events.ts
@@ -1,17 +1,17 @@
 import type { LeaseUse } from "./leases.js";
 import type { LoadOutcome } from "./types.js";
 
-/** Options of an owner. */
+/** Options of an engine owner. */
 export interface OwnerOptions {
-    /** Identity that fencing tokens are made from: different for every agent's every start. */
+    /** Identity from which fencing tokens are derived; differs between agents and between starts of one agent. */
     readonly identity: string;
-    /** Length of a lease, in milliseconds. @default 3000 */
+    /** Duration of a lease, in milliseconds. @default 3000 */
     readonly leaseMs?: number;
-    /** Greatest age of the running counts that engines report, in milliseconds. @default 1000 */
+    /** Maximum age of the running counts that engines report, in milliseconds. @default 1000 */
     readonly reportLagMs?: number;
 }
 
-/** What an engine said of itself. */
+/** Status report of an engine. */
 export interface EngineReport {
     readonly instance: string;
     readonly isLeaving: boolean;
@@ -19,11 +19,11 @@
     readonly slots: number;
     readonly batchRoom: number;
     readonly adapters: readonly { readonly model: string; readonly running: number; }[];
-    /** When the report was asked for. */
+    /** Time at which the owner requested the report. */
     readonly askedAt: number;
 }
 
-/** What an owner hears. */
+/** Events that an owner handles. */
 export type OwnerEvent =
     | { readonly type: "own"; readonly engineId: string; readonly address: string; }
     | { readonly type: "disown"; readonly engineId: string; }
@@ -48,10 +48,10 @@
     }
     | { readonly type: "tick"; };
 
-/** How an eviction ended. After `unknown` the order may still be on its way to the engine. */
+/** Outcome of an eviction. After `unknown` the order may still be in transit to the engine. */
 export type EvictOutcome = "done" | "failed" | "unknown";
 
-/** What an owner wants done. */
+/** Commands that an owner returns for its caller to carry out. */
 export type OwnerCommand =
     | { readonly type: "claim"; readonly engineId: string; readonly address: string; readonly fence: number; }
     | {
@@ -61,9 +61,9 @@
         readonly model: string;
         readonly fence: number;
     }
-    /** Tell the placer that an order came to nothing. */
+    /** Notify the placer that an order was not carried out. */
     | { readonly type: "refuse"; readonly engineId: string; readonly model: string; }
-    /** What gateways are granted has changed. */
+    /** Send the changed grant to the gateways. */
     | { readonly type: "publish"; };
 
 /** One engine as it is leased to every gateway. */
--- a/packages/placement/src/leases.ts
+++ b/packages/placement/src/leases.ts
@@ -1,4 +1,4 @@
-/** Requests of one gateway that use a model on an engine. */
+/** Numbers of one gateway's requests that use a model on an engine. */
 export interface LeaseUse {
     readonly engineId: string;
     readonly model: string;
@@ -13,18 +13,21 @@
     uses: readonly LeaseUse[];
 }
 
-/** The leases that one owner has given, all of which a gateway renews at once. */
-export class LeaseBook {
+/** Leases that one owner has granted. A gateway renews all its leases together. */
+export class LeaseTable {
     private readonly gateways = new Map<string, GatewayLease>();
 
     constructor(private readonly leaseMs: number) {}
 
-    /** Takes a renewal. The gateway counts from when it sent it, so that its lease never outlasts this one. */
+    /**
+     * Renews a gateway's lease. The gateway counts the duration from when it sent the renewal, so its view of the lease
+     * never outlasts the owner's.
+     */
     renew(gateway: string, grantVersion: number, uses: readonly LeaseUse[], now: number): void {
         this.gateways.set(gateway, { expiresAt: now + this.leaseMs, grantVersion, uses });
     }
 
-    /** Drops lapsed leases and says how many there were. */
+    /** Removes expired leases and returns their number. */
     expire(now: number): number {
         let count = 0;
         for (const [gateway, lease] of this.gateways) {
@@ -36,7 +39,7 @@
         return count;
     }
 
-    /** Whether every gateway with a lease has applied the grant `version` and runs nothing on the model. */
+    /** Whether every gateway with a lease has applied the grant `version` and runs no request on the model. */
     isReleased(engineId: string, model: string, version: number): boolean {
         for (const lease of this.gateways.values()) {
             if (lease.grantVersion < version) {
@@ -51,7 +54,7 @@
         return true;
     }
 
-    /** Requests that use a model on an engine, over all gateways. */
+    /** Returns the number of requests of all gateways that use a model on an engine. */
     readUses(engineId: string, model: string): number {
         let total = 0;
         for (const use of this.listUses()) {
@@ -62,7 +65,7 @@
         return total;
     }
 
-    /** Requests on an engine, over all gateways, by class. */
+    /** Returns the number of requests of all gateways on an engine, by class. */
     readInFlight(engineId: string): { paying: number; trial: number; } {
         const total = { paying: 0, trial: 0 };
         for (const use of this.listUses()) {
--- a/packages/placement/src/owned.ts
+++ b/packages/placement/src/owned.ts
@@ -1,53 +1,53 @@
 import type { EngineReport } from "./events.js";
 import type { SlotState } from "./types.js";
 
-/** One model on an engine. */
+/** Adapter slot of an engine that holds a model. */
 export interface Slot {
     state: SlotState;
-    /** Requests that the engine reported, and when that report was asked for. */
+    /** Running requests that the engine last reported. */
     running: number;
-    /** Version of the grant that no longer holds the model. */
+    /** Version of the first grant without the model. */
     revokedVersion: number;
-    /** Until a report asked for after this time shows nothing running, the model may be in use. */
-    doubtAt: number;
-    /** A report that was asked for before this time does not tell whether the model is there. */
-    readonly since: number;
-    /** An order to evict the model may still reach the engine: it must not be leased. */
-    isEvictionOpen: boolean;
+    /** The model may be in use until a report requested after this time shows no running requests. */
+    uncertainAt: number;
+    /** A report requested before this time does not show whether the engine holds the model. */
+    readonly changedAt: number;
+    /** An order to evict the model may still reach the engine, so the model must not be leased. */
+    isEvictionPending: boolean;
 }
 
-/** One engine in the eyes of its owner. */
+/** Owner's state of one engine. */
 export interface OwnedEngine {
     readonly id: string;
     readonly address: string;
     instance: string | undefined;
-    /** Own fencing token; undefined until the engine took it. */
+    /** The owner's fencing token; undefined until the engine has accepted it. */
     fence: number | undefined;
-    /** Highest token that the engine has reported. */
-    seenFence: number;
+    /** Token in the engine's last report. */
+    reportedFence: number;
     claimingFence: number | undefined;
     nextClaimAt: number;
-    /** An order with the own token may be delayed on the network: a higher token makes it void. */
+    /** An order with the current token may be delayed in the network; claiming a higher token voids it. */
     mustReclaim: boolean;
     slots: number;
     batchRoom: number;
     isLeaving: boolean;
     reportAskedAt: number;
-    /** After a change of owner, gateways may hold leases that this owner never gave. */
+    /** After a change of owner, gateways may hold leases from the previous owner until this time. */
     noEvictionBefore: number;
     readonly models: Map<string, Slot>;
-    /** When models were evicted; a report that was asked for before may still list them. */
+    /** Eviction time of each model; a report requested before that time may still list the model. */
     readonly evictedAt: Map<string, number>;
 }
 
-/** An engine of which nothing is known yet. */
+/** Creates the state of an engine that has not reported yet. */
 export function createEngine(engineId: string, address: string): OwnedEngine {
     return {
         id: engineId,
         address,
         instance: undefined,
         fence: undefined,
-        seenFence: 0,
+        reportedFence: 0,
         claimingFence: undefined,
         nextClaimAt: 0,
         mustReclaim: false,
@@ -62,8 +62,8 @@
 }
 
 /**
- * Takes what an engine says it has loaded, save for what has changed since it was asked. Returns whether what may be
- * leased has changed.
+ * Applies the list of loaded models from an engine's report, except for models that changed after the report was
+ * requested. Returns whether the set of leasable models has changed.
  */
 export function applyReportedModels(engine: OwnedEngine, report: EngineReport): boolean {
     let changed = false;
@@ -71,7 +71,7 @@
     for (const [model, slot] of engine.models) {
         const running = reported.get(model);
         slot.running = running ?? 0;
-        if (running === undefined && slot.state !== "loading" && report.askedAt >= slot.since) {
+        if (running === undefined && slot.state !== "loading" && report.askedAt >= slot.changedAt) {
             engine.models.delete(model);
             changed = true;
         }
@@ -80,15 +80,15 @@
         const evictedAt = engine.evictedAt.get(model);
         const isOutdated = evictedAt !== undefined && report.askedAt <= evictedAt;
         if (!engine.models.has(model) && !isOutdated) {
-            // Before the claim there is no time to count from; the claim itself sets the doubt then.
-            const doubtAt = engine.fence === undefined ? -Infinity : engine.noEvictionBefore;
+            // Before the claim there is no time to count from; receiveClaimed() sets `uncertainAt` in that case.
+            const uncertainAt = engine.fence === undefined ? -Infinity : engine.noEvictionBefore;
             engine.models.set(model, {
                 state: "loaded",
                 running,
                 revokedVersion: 0,
-                doubtAt,
-                since: report.askedAt,
-                isEvictionOpen: false,
+                uncertainAt,
+                changedAt: report.askedAt,
+                isEvictionPending: false,
             });
             changed = true;
         }
--- a/packages/placement/src/owner.ts
+++ b/packages/placement/src/owner.ts
@@ -8,24 +8,25 @@
     OwnerOptions,
 } from "./events.js";
 import { createFence } from "./fence.js";
-import { LeaseBook, type LeaseUse } from "./leases.js";
+import { LeaseTable, type LeaseUse } from "./leases.js";
 import { applyReportedModels, createEngine, type OwnedEngine, type Slot } from "./owned.js";
 import type { EngineSummary, LoadOutcome } from "./types.js";
 
 const defaultLeaseMs = 3000;
 const defaultReportLagMs = 1000;
 
-/** Wait before an engine that went to another owner is claimed again, in milliseconds. */
+/** Minimum time between two claims of an engine, also after another owner has claimed it, in milliseconds. */
 const claimBackoffMs = 1000;
 
 /**
  * Owns engines: leases their loaded models to gateways, and evicts a model only when no request can be using it.
- * Eviction has two phases. The model leaves the grant; then every gateway has either confirmed that grant with no
- * request running, or its lease has lapsed and the engine itself reports nothing running. See docs/design/leases.md.
+ * Eviction has two phases. The owner first removes the model from the grant. It then waits until every gateway has
+ * either confirmed that grant with no request running, or lost its lease and the engine itself reports no running
+ * requests. See docs/design/leases.md.
  */
 export class Owner {
     private readonly engines = new Map<string, OwnedEngine>();
-    private readonly leases: LeaseBook;
+    private readonly leases: LeaseTable;
     private readonly leaseMs: number;
     private readonly reportLagMs: number;
     private readonly identity: string;
@@ -35,10 +36,10 @@
         this.identity = options.identity;
         this.leaseMs = options.leaseMs ?? defaultLeaseMs;
         this.reportLagMs = options.reportLagMs ?? defaultReportLagMs;
-        this.leases = new LeaseBook(this.leaseMs);
+        this.leases = new LeaseTable(this.leaseMs);
     }
 
-    /** Takes one event and returns what to do. */
+    /** Handles one event and returns the resulting commands. */
     decide(event: OwnerEvent, now: number): OwnerCommand[] {
         const versionBefore = this.version;
         const commands = this.receive(event, now);
@@ -53,12 +54,12 @@
         return commands;
     }
 
-    /** Rises with every change of what is granted. */
+    /** Version of the grant; increases with every change. */
     get grantVersion(): number {
         return this.version;
     }
 
-    /** What every gateway is granted. */
+    /** Returns the engines and models that are granted to every gateway. */
     listGranted(): GrantedEngine[] {
         const granted: GrantedEngine[] = [];
         for (const engine of this.engines.values()) {
@@ -80,12 +81,12 @@
         return granted;
     }
 
-    /** Requests on every engine, as the gateways told them. */
+    /** Returns the number of requests on every engine, as reported by the gateways. */
     listCounts(): EngineCounts[] {
         return [...this.engines.keys()].map(id => ({ id, ...this.leases.readInFlight(id) }));
     }
 
-    /** What the placer needs to know. */
+    /** Returns the state of every claimed engine for the placer. */
     listSummaries(): EngineSummary[] {
         const summaries: EngineSummary[] = [];
         for (const engine of this.engines.values()) {
@@ -175,7 +176,7 @@
         ) {
             return;
         }
-        engine.claimingFence = createFence(Math.max(engine.seenFence, engine.fence ?? 0), this.identity);
+        engine.claimingFence = createFence(Math.max(engine.reportedFence, engine.fence ?? 0), this.identity);
         engine.nextClaimAt = now + claimBackoffMs;
         commands.push({ type: "claim", engineId: engine.id, address: engine.address, fence: engine.claimingFence });
     }
@@ -191,20 +192,20 @@
         engine.fence = fence;
         this.version++;
         for (const slot of engine.models.values()) {
-            // Orders with the token before are void from here on.
-            slot.isEvictionOpen = slot.state === "evicting";
+            // The new token voids orders that carry the previous one.
+            slot.isEvictionPending = slot.state === "evicting";
         }
         if (!isTakeOver) {
             return;
         }
-        // Leases of the owner before lapse by then; what runs under them shows in a report asked for after that.
+        // The previous owner's leases expire by then. Requests under them show in a report requested after that time.
         engine.noEvictionBefore = now + this.leaseMs;
         for (const slot of engine.models.values()) {
-            slot.doubtAt = Math.max(slot.doubtAt, engine.noEvictionBefore);
+            slot.uncertainAt = Math.max(slot.uncertainAt, engine.noEvictionBefore);
         }
     }
 
-    /** Another owner gave the engine a higher token. Nothing more is ordered or leased here until it is claimed again. */
+    /** Another owner has claimed the engine. This owner sends no orders and grants no leases until it claims it again. */
     private receiveFenced(engineId: string, now: number): OwnerCommand[] {
         const engine = this.engines.get(engineId);
         if (engine === undefined) {
@@ -221,7 +222,7 @@
         return refusals;
     }
 
-    // What engines say.
+    // Engine reports.
 
     private receiveReport(engineId: string, report: EngineReport, now: number): OwnerCommand[] {
         const engine = this.engines.get(engineId);
@@ -229,12 +230,12 @@
             return [];
         }
         engine.reportAskedAt = report.askedAt;
-        engine.seenFence = report.fence;
+        engine.reportedFence = report.fence;
         if (engine.instance !== report.instance) {
             this.receiveNewInstance(engine, report);
         }
         if (engine.fence !== undefined && report.fence > engine.fence) {
-            // Engines that ignore tokens report them all the same: this is how an owner that was paused learns of it.
+            // Engines that ignore tokens still report them, so an owner that was paused learns that it has lost the engine.
             return this.receiveFenced(engineId, now);
         }
         const isLeaving = engine.isLeaving || report.isLeaving;
@@ -250,7 +251,7 @@
         return [];
     }
 
-    /** A process that has just started runs nothing, so that no doubt about the one before it remains. */
+    /** A newly started engine process runs no requests, so no uncertainty about the previous process remains. */
     private receiveNewInstance(engine: OwnedEngine, report: EngineReport): void {
         const isRestart = engine.instance !== undefined;
         engine.instance = report.instance;
@@ -279,19 +280,19 @@
         for (const { engineId, model } of unsure) {
             const slot = this.engines.get(engineId)?.models.get(model);
             if (slot !== undefined) {
-                slot.doubtAt = Math.max(slot.doubtAt, now);
+                slot.uncertainAt = Math.max(slot.uncertainAt, now);
             }
         }
     }
 
-    /** A gateway whose lease has lapsed may have begun requests that it never told of. */
+    /** A gateway whose lease has expired may have started requests that it did not report. */
     private expireLeases(now: number): void {
         if (this.leases.expire(now) === 0) {
             return;
         }
         for (const engine of this.engines.values()) {
             for (const slot of engine.models.values()) {
-                slot.doubtAt = Math.max(slot.doubtAt, now);
+                slot.uncertainAt = Math.max(slot.uncertainAt, now);
             }
         }
     }
@@ -310,7 +311,7 @@
 
     private startLoad(engine: OwnedEngine, fence: number, model: string, now: number): OwnerCommand[] {
         const slot = engine.models.get(model);
-        if (slot?.state === "revoking" && !slot.isEvictionOpen) {
+        if (slot?.state === "revoking" && !slot.isEvictionPending) {
             slot.state = "loaded";
             this.version++;
         }
@@ -321,9 +322,9 @@
             state: "loading",
             running: 0,
             revokedVersion: 0,
-            doubtAt: -Infinity,
-            since: now,
-            isEvictionOpen: false,
+            uncertainAt: -Infinity,
+            changedAt: now,
+            isEvictionPending: false,
         });
         return [{ type: "load", engineId: engine.id, address: engine.address, model, fence }];
     }
@@ -345,7 +346,7 @@
             return;
         }
         if (outcome === "loaded") {
-            models.set(model, { ...slot, state: "loaded", since: now });
+            models.set(model, { ...slot, state: "loaded", changedAt: now });
         }
         else {
             models.delete(model);
@@ -360,7 +361,7 @@
         for (const [model, slot] of engine.models) {
             if (slot.state === "revoking" && this.isReleased(engine, model, slot)) {
                 slot.state = "evicting";
-                slot.isEvictionOpen = true;
+                slot.isEvictionPending = true;
                 commands.push({
                     type: "evict",
                     engineId: engine.id,
@@ -376,10 +377,10 @@
         if (!this.leases.isReleased(engine.id, model, slot.revokedVersion)) {
             return false;
         }
-        if (slot.doubtAt === -Infinity) {
+        if (slot.uncertainAt === -Infinity) {
             return true;
         }
-        return engine.reportAskedAt >= slot.doubtAt + this.reportLagMs && slot.running === 0;
+        return engine.reportAskedAt >= slot.uncertainAt + this.reportLagMs && slot.running === 0;
     }
 
     private receiveEvictEnded(engineId: string, model: string, outcome: EvictOutcome, now: number): void {
@@ -395,18 +396,21 @@
                 this.version++;
                 return;
             case "failed":
-                slot.isEvictionOpen = false;
+                slot.isEvictionPending = false;
                 slot.state = "revoking";
                 return;
             case "unknown":
-                // A delayed order must find a higher token at the engine before the model may be leased again.
+                // The engine must hold a higher token, which voids the delayed order, before the model is leased again.
                 slot.state = "revoking";
                 engine.mustReclaim = true;
         }
     }
 }
 
-/** The placer orders no other eviction until it hears of these, and an owner that has lost its engine carries none out. */
+/**
+ * Reports the open evictions as not carried out: the placer orders no other eviction until then, and an owner that has
+ * lost its engine cannot carry them out.
+ */
 function refuseEvictions(engine: OwnedEngine): OwnerCommand[] {
     return [...engine.models]
         .filter(([, slot]) => slot.state === "revoking" || slot.state === "evicting")
--- a/packages/placement/test/owner.test.ts
+++ b/packages/placement/test/owner.test.ts
@@ -27,7 +27,7 @@
     };
 }
 
-/** An owner that has claimed its engine at time 0 and has waited the first lease out. */
+/** Creates an owner that has claimed its engine at time 0. */
 function createOwner() {
     const owner = new Owner({ identity: "agent", leaseMs, reportLagMs });
     const decide = (event: OwnerEvent, now: number): OwnerCommand[] => owner.decide(event, now);
@@ -53,21 +53,25 @@
     };
 }
 
-test("a new owner leases out what is loaded at once, and evicts nothing for one lease", () => {
+test("a new owner leases the loaded models immediately and evicts nothing for one lease duration", () => {
     const { owner, decide, fence } = createOwner();
     assert.equal(owner.listGranted().map(engine => engine.models), [[model]]);
     decide({ type: "order", action: "evict", engineId, model }, 1);
     for (let at = 100; at < leaseMs; at += 100) {
         assert.not(isEvicting(decide(createReport(at, { fence }), at)), `at ${at}`);
     }
-    // What began under a lease of the owner before shows only in a report asked for after it lapsed.
+    // Requests that started under the previous owner's lease show only in a report requested after that lease expired.
     assert.not(isEvicting(decide(createReport(leaseMs + reportLagMs - 1, { fence }), leaseMs + reportLagMs)));
     assert.ok(isEvicting(decide(createReport(leaseMs + reportLagMs, { fence }), leaseMs + reportLagMs)));
 });
 
-/** What a gateway says after a revocation, and whether the eviction may go on. */
-const renewals: readonly { name: string; create: (version: number) => OwnerEvent; isEvicted: boolean; }[] = [
-    { name: "has applied the grant and runs nothing", create: version => createRenewal(version, 0), isEvicted: true },
+/** A gateway's renewal after a revocation, and whether the owner may then evict the model. */
+const renewalCases: readonly { name: string; create: (version: number) => OwnerEvent; isEvicted: boolean; }[] = [
+    {
+        name: "has applied the grant and runs no request",
+        create: version => createRenewal(version, 0),
+        isEvicted: true,
+    },
     {
         name: "has applied the grant and still runs a request",
         create: version => createRenewal(version, 1),
@@ -75,14 +79,14 @@
     },
     { name: "has not applied the grant yet", create: version => createRenewal(version - 1, 0), isEvicted: false },
     {
-        name: "is unsure whether its request has ended",
+        name: "reports that its request may still be running",
         create: version => createRenewal(version, 0, true),
         isEvicted: false,
     },
 ];
 
-for (const { name, create, isEvicted } of renewals) {
-    test(`a model is ${isEvicted ? "" : "not "}evicted when its gateway ${name}`, () => {
+for (const { name, create, isEvicted } of renewalCases) {
+    test(`a revoked model is ${isEvicted ? "" : "not "}evicted when the gateway ${name}`, () => {
         const { owner, decide, fence } = createOwner();
         const start = leaseMs + reportLagMs;
         decide(createReport(start, { fence }), start);
@@ -93,7 +97,7 @@
     });
 }
 
-test("a gateway whose lease lapsed holds an eviction up until the engine reports nothing running", () => {
+test("an eviction waits for a gateway whose lease expired until the engine reports no running requests", () => {
     const { owner, decide, fence } = createOwner();
     const start = leaseMs + reportLagMs;
     decide(createReport(start, { fence }), start);
@@ -105,7 +109,7 @@
     assert.ok(isEvicting(decide(createReport(lapsed + reportLagMs + 1, { fence }), lapsed + reportLagMs + 1)));
 });
 
-test("after an eviction without an answer the model is not leased before a higher token voids the order", () => {
+test("after an eviction with unknown outcome the model is not leased before a higher token voids the order", () => {
     const { owner, decide, fence } = createOwner();
     const start = leaseMs + reportLagMs;
     decide(createReport(start, { fence }), start);
@@ -128,7 +132,7 @@
     decide({ type: "evictEnded", engineId, model, outcome: "failed" }, start + leaseMs + 3);
 });
 
-test("an owner that was paused learns from a report that another one has claimed its engine", () => {
+test("a paused owner learns from a report that another owner has claimed its engine", () => {
     const { owner, decide, fence } = createOwner();
     decide(createReport(60_000, { fence: fence + 2 ** 21 }), 60_000);
     assert.equal(owner.listGranted(), []);
@@ -139,7 +143,7 @@
     }]);
 });
 
-test("a cold start ends every lease on the engine and claims it anew", () => {
+test("after a cold start of the engine, the owner grants no leases on it and claims it again", () => {
     const { owner, decide, fence } = createOwner();
     const commands = decide(createReport(5000, { instance: "2", models: [] }), 5000);
     assert.equal(owner.listGranted(), []);
@@ -147,7 +151,7 @@
     assert.ok(fence > 0);
 });
 
-test("a report asked for before a load ended does not take the model away", () => {
+test("a report requested before a load finished does not remove the model", () => {
     const { owner, decide, fence } = createOwner();
     decide({ type: "order", action: "load", engineId, model: "b@1" }, 2000);
     decide({ type: "loadEnded", engineId, model: "b@1", outcome: "loaded" }, 2500);
@@ -157,7 +161,7 @@
     assert.equal(owner.listGranted()[0]?.models, [model]);
 });
 
-test("a report asked for before an eviction does not bring the model back", () => {
+test("a report requested before an eviction does not add the model again", () => {
     const { owner, decide, fence } = createOwner();
     const start = leaseMs + reportLagMs;
     decide(createReport(start, { fence }), start);
@@ -167,7 +171,7 @@
     assert.equal(owner.listGranted()[0]?.models, []);
 });
 
-test("tokens of owners that claim at the same time differ, and are above what the engine has seen", () => {
+test("fencing tokens of owners that claim at the same time differ and are above the token seen from the engine", () => {
     const one = createFence(7 * 2 ** 21 + 5, "one");
     const two = createFence(7 * 2 ** 21 + 5, "two");
     assert.is.not(one, two);
@@ -175,7 +179,7 @@
     assert.ok(Number.isSafeInteger(createFence(2 ** 52, "one")));
 });
 
-test("an owner that loses an engine says that its evictions came to nothing", () => {
+test("an owner that loses an engine reports its open evictions as refused", () => {
     for (const event of [{ type: "fenced", engineId }, { type: "disown", engineId }] as const) {
         const { decide } = createOwner();
         decide(createReport(10), 10);
