--- a/packages/placement/src/demand.ts
+++ b/packages/placement/src/demand.ts
@@ -3,7 +3,7 @@
 import { WaitRank } from "./rank.js";
 import type { ModelDemand } from "./types.js";
 
-/** Requests of one gateway, or of all, that wait for a model. `start` is the sum of their arrival times. */
+/** Waiting requests for a model, at one gateway or in total. Each `...Start` field is the sum of their arrival times. */
 interface WaitingSum {
     payingCount: number;
     payingStart: number;
@@ -11,11 +11,11 @@
     trialStart: number;
 }
 
-/** What is known of one model that is loaded or waited for. */
+/** State of one model that an engine holds or that requests wait for. */
 export interface ModelState extends Readonly<WaitingSum> {
     /** Engines that hold the model, in any state. */
     readonly engines: ReadonlySet<string>;
-    /** Whether a paying customer has asked for it since it was last forgotten. */
+    /** Whether a paying customer has requested the model since its state was last removed. */
     readonly isPaying: boolean;
 }
 
@@ -25,30 +25,33 @@
     isPaying: boolean;
 }
 
-interface HotEntry {
+interface PopularityEntry {
     readonly model: string;
     readonly score: number;
 }
 
-/** Entries of the heap of popular models that are tolerated for each model counted, before the stale ones are dropped. */
-const maxHotEntries = 4;
+/**
+ * Size limits of the heap of popular models: the stale entries are removed when the heap holds more than the minimum plus
+ * this many entries per counted model.
+ */
+const maxHotEntriesPerModel = 4;
 const minHotEntries = 1000;
 
-/** Interval at which models that are hardly asked for are forgotten, in milliseconds. */
-const forgetEveryMs = 60_000;
+/** Interval at which the popularity of rarely requested models is removed, in milliseconds. */
+const expiryIntervalMs = 60_000;
 
-/** Who waits for which model and how popular each is, ranked for the placer. */
+/** Waiting requests and popularity of each model, ranked for the placer. */
 export class DemandTable {
-    /** Models that are loaded nowhere, by the total time that paying requests have waited. */
+    /** Models that no engine holds, ranked by the total wait of their paying requests. */
     readonly paying = new WaitRank();
-    /** The same for trial requests. */
+    /** Models that no engine holds, ranked by the total wait of their trial requests. */
     readonly trial = new WaitRank();
-    /** Models that are waited for although they are loaded, since no engine that holds them has room. */
+    /** Models that paying requests wait for although an engine holds them, since no such engine has batch room. */
     readonly replica = new WaitRank();
     readonly popularity: Popularity;
     private readonly models = new Map<string, MutableModel>();
-    private hot = this.createHot([]);
-    private forgottenAt = 0;
+    private popularModels = this.createPopularModels([]);
+    private expiredAt = 0;
 
     constructor(halfLifeMs: number | undefined) {
         this.popularity = new Popularity({ halfLifeMs });
@@ -63,8 +66,8 @@
         return this.models.get(model)?.engines.has(engineId) ?? false;
     }
 
-    /** An engine holds the model from now on. */
-    addPlace(engineId: string, model: string): void {
+    /** Records that an engine holds the model. */
+    addSlot(engineId: string, model: string): void {
         const state = this.findOrCreate(model);
         if (!state.engines.has(engineId)) {
             state.engines.add(engineId);
@@ -72,19 +75,19 @@
         }
     }
 
-    /** An engine does not hold the model any more. */
-    removePlace(engineId: string, model: string): void {
+    /** Records that an engine no longer holds the model. */
+    removeSlot(engineId: string, model: string): void {
         const state = this.models.get(model);
         if (state === undefined) {
             return;
         }
         state.engines.delete(engineId);
         this.updateRanks(model, state);
-        this.hot.push({ model, score: this.popularity.readScore(model) });
+        this.popularModels.push({ model, score: this.popularity.readScore(model) });
         this.removeIfUnused(model, state);
     }
 
-    /** Takes one gateway's word on one model. */
+    /** Applies one gateway's demand report for one model. */
     receive(gateway: string, change: ModelDemand, now: number): void {
         const { model, paying, trial } = change;
         const state = this.findOrCreate(model);
@@ -105,7 +108,7 @@
         this.removeIfUnused(model, state);
     }
 
-    /** A gateway has gone, and what waited there with it. */
+    /** Removes a gateway that is gone, together with its waiting requests. */
     removeGateway(gateway: string): void {
         for (const [model, state] of this.models) {
             if (state.gateways.has(gateway)) {
@@ -116,22 +119,22 @@
         }
     }
 
-    /** The most popular model that is loaded nowhere; undefined if none was asked for of late. */
-    findHottest(now: number): string | undefined {
-        while (this.hot.length > 0) {
-            const entry = this.hot.peek()!;
+    /** Returns the most popular model that no engine holds; undefined if no such model was requested recently. */
+    findMostPopular(now: number): string | undefined {
+        while (this.popularModels.length > 0) {
+            const entry = this.popularModels.peek()!;
             if (!this.isStale(entry) && this.popularity.readCount(entry.model, now) >= 1) {
                 return entry.model;
             }
-            this.hot.pop();
+            this.popularModels.pop();
         }
         return undefined;
     }
 
-    /** Forgets what is hardly asked for. */
+    /** Removes the popularity of rarely requested models, at most once per interval. */
     expire(now: number): void {
-        if (now - this.forgottenAt >= forgetEveryMs) {
-            this.forgottenAt = now;
+        if (now - this.expiredAt >= expiryIntervalMs) {
+            this.expiredAt = now;
             this.popularity.expire(now);
         }
     }
@@ -144,18 +147,20 @@
         if (state.engines.size > 0) {
             return;
         }
-        this.hot.push({ model, score });
-        if (this.hot.length > minHotEntries + maxHotEntries * this.popularity.size) {
-            this.hot = this.createHot(this.hot.data.filter(entry => !this.isStale(entry)));
+        this.popularModels.push({ model, score });
+        if (this.popularModels.length > minHotEntries + maxHotEntriesPerModel * this.popularity.size) {
+            this.popularModels = this.createPopularModels(
+                this.popularModels.data.filter(entry => !this.isStale(entry)),
+            );
         }
     }
 
-    private createHot(entries: HotEntry[]): TinyQueue<HotEntry> {
+    private createPopularModels(entries: PopularityEntry[]): TinyQueue<PopularityEntry> {
         return new TinyQueue(entries, (left, right) => right.score - left.score);
     }
 
-    /** A later arrival has made another entry, or the model is loaded. */
-    private isStale({ model, score }: HotEntry): boolean {
+    /** Whether a later arrival has added a newer entry for the model, or an engine holds the model. */
+    private isStale({ model, score }: PopularityEntry): boolean {
         return this.popularity.readScore(model) !== score || (this.models.get(model)?.engines.size ?? 0) > 0;
     }
 
@@ -168,10 +173,10 @@
     }
 
     private updateRanks(model: string, state: MutableModel): void {
-        const isPlaced = state.engines.size > 0;
-        this.paying.setWaiting(model, isPlaced ? 0 : state.payingCount, state.payingStart);
-        this.trial.setWaiting(model, isPlaced ? 0 : state.trialCount, state.trialStart);
-        this.replica.setWaiting(model, isPlaced ? state.payingCount : 0, state.payingStart);
+        const isHeldAnywhere = state.engines.size > 0;
+        this.paying.setWaiting(model, isHeldAnywhere ? 0 : state.payingCount, state.payingStart);
+        this.trial.setWaiting(model, isHeldAnywhere ? 0 : state.trialCount, state.trialStart);
+        this.replica.setWaiting(model, isHeldAnywhere ? state.payingCount : 0, state.payingStart);
     }
 
     private findOrCreate(model: string): MutableModel {
@@ -192,7 +197,10 @@
         return state;
     }
 
-    /** Memory is bounded by what is loaded or waited for; popularity alone is kept longer, and more compactly. */
+    /**
+     * Bounds memory by the models that an engine holds or that requests wait for. Only the popularity, which is more
+     * compact, is kept longer.
+     */
     private removeIfUnused(model: string, state: MutableModel): void {
         if (state.engines.size === 0 && state.gateways.size === 0) {
             this.models.delete(model);
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -3,52 +3,52 @@
 
 /** Options of {@link Placer}. */
 export interface PlacerOptions {
-    /** 1 weighs load stalls only, 0 weighs batch fullness only. @default 0.7 */
+    /** Weight of load stalls against batch fullness: 1 considers only stalls, 0 only fullness. @default 0.7 */
     readonly stallWeight?: number;
-    /** Share of an engine's slots that adapters wanted by trials alone may hold. @default 0.25 */
+    /** Share of the adapter slots that adapters requested only by trial customers may hold. @default 0.25 */
     readonly trialSlotShare?: number;
-    /** Time after which an arrival counts half, in milliseconds. @default 150000 */
+    /** Half-life of an arrival's weight, in milliseconds. @default 150000 */
     readonly halfLifeMs?: number;
-    /** Loads a second that may be started now. @default no limit but one at a time */
+    /** Returns the permitted load starts per second. @default limited only to one load at a time */
     readonly readRate?: (now: number) => number;
-    /** A load that does not end within this long is counted as failed, in milliseconds. @default 60000 */
+    /** Time after which an unfinished load counts as failed, in milliseconds. @default 60000 */
     readonly loadTimeoutMs?: number;
 }
 
-/** What a placer hears. */
+/** Events that a placer handles. */
 export type PlacerEvent =
     | { readonly type: "engine"; readonly engine: EngineSummary; }
     | { readonly type: "engineGone"; readonly engineId: string; }
-    /** The engine has another owner, or orders to its owner may have been lost: nobody may ever say how they ended. */
+    /** The engine has another owner, or orders to its owner may have been lost: their outcome may never be reported. */
     | { readonly type: "ordersLost"; readonly engineId: string; }
     | { readonly type: "demand"; readonly gateway: string; readonly changes: readonly ModelDemand[]; }
     | { readonly type: "gatewayGone"; readonly gateway: string; }
     | { readonly type: "loadEnded"; readonly engineId: string; readonly model: string; readonly outcome: LoadOutcome; }
     | { readonly type: "tick"; };
 
-/** What a placer orders of an engine's owner. */
+/** Order of a placer to an engine's owner. */
 export interface PlacerCommand {
     readonly type: "load" | "evict";
     readonly engineId: string;
     readonly model: string;
 }
 
-/** How long a load that is asked for now would wait, in milliseconds. */
+/** Expected wait of a load that is requested now, in milliseconds. */
 export interface LoadOutlook {
     readonly payingWaitMs: number;
     readonly trialWaitMs: number;
-    /** Mean time of one load. */
+    /** Mean duration of one load. */
     readonly loadMs: number;
-    /** Model that is being loaded now. */
+    /** Model that is currently loading. */
     readonly loading: string | undefined;
 }
 
-/** Where a model is, and what its next load waits for. */
+/** Engines that hold a model, and what its next load waits for. */
 export interface PlacementExplanation {
     readonly engines: readonly { readonly engineId: string; readonly state: string; }[];
     readonly payingWaiting: number;
     readonly trialWaiting: number;
-    /** Arrivals, each counting half after the half-life. */
+    /** Number of arrivals, weighted by exponential decay. */
     readonly decayedArrivals: number;
     readonly isNext: boolean;
     readonly isLoading: boolean;
@@ -60,7 +60,7 @@
 interface Order {
     readonly engineId: string;
     readonly model: string;
-    readonly at: number;
+    readonly orderedAt: number;
 }
 
 interface Backoff {
@@ -68,60 +68,63 @@
     until: number;
 }
 
-/** First wait after a failed load, in milliseconds; it doubles with each failure. */
+/** First backoff after a failed load, in milliseconds; it doubles with each failure up to `maxBackoffMs`. */
 const minBackoffMs = 500;
 const maxBackoffMs = 60_000;
 
-/** A replica relieves requests that would be served in the end, a first load relieves those that would not. */
-const replicaDiscount = 0.25;
+/**
+ * Weight of a replica's waiting time against that of a first load: requests that wait for a replica are served
+ * eventually, requests that wait for a first load are not.
+ */
+const replicaWeight = 0.25;
 
-/** An eviction that its owner does not confirm is ordered again after this long, in milliseconds. */
+/** Time after which an eviction that its owner has not confirmed is ordered again, in milliseconds. */
 const evictTimeoutMs = 10_000;
 
-/** Weight of a new measurement in the mean load time. */
-const loadTimeGain = 0.2;
+/** Weight of a new measurement in the moving average of the load time. */
+const loadTimeSmoothing = 0.2;
 
 /** Load time assumed before the first measurement, in milliseconds. */
-const firstLoadMs = 500;
+const initialLoadMs = 500;
 
-/** Engines may be filled up to this multiple of their batch room by placement. */
-const packBound = 1;
+/** Ratio of requests in flight to batch room at which placement regards an engine as full. */
+const fullPackingRatio = 1;
 
 /**
- * Decides what one data centre loads and evicts. One load runs at a time, since the weight store is fastest so; which
- * one is next is the total time waited that it relieves, paying customers strictly first.
- * See docs/design/placement.md.
+ * Decides which adapters one data centre loads and evicts. One load runs at a time, since the weight store is fastest
+ * that way. The next load is the one whose requests have the longest total wait; paying customers have strict priority
+ * over trial ones. See docs/design/placement.md.
  */
 export class Placer {
     private readonly engines = new Map<string, EngineSummary>();
     private readonly demand: DemandTable;
     private readonly backoffs = new Map<string, Backoff>();
     private readonly evictions = new Map<string, Order>();
-    private load: Order | undefined;
+    private pendingLoad: Order | undefined;
     private nextLoadAt = 0;
-    private meanLoadMs = firstLoadMs;
+    private meanLoadMs = initialLoadMs;
 
     constructor(private options: PlacerOptions = {}) {
         this.demand = new DemandTable(options.halfLifeMs);
     }
 
-    /** Takes new offerings. */
+    /** Applies new offerings. The half-life stays as it was at the start. */
     setOptions(options: PlacerOptions): void {
         this.options = { ...options, halfLifeMs: this.options.halfLifeMs };
     }
 
-    /** Takes one event and returns what to order. */
+    /** Handles one event and returns the resulting orders. */
     decide(event: PlacerEvent, now: number): PlacerCommand[] {
         this.receive(event, now);
         return this.plan(now);
     }
 
-    /** Whether anybody waits for a load here. */
+    /** Whether a load is running or requests in this data centre wait for one. */
     get isWanting(): boolean {
-        return this.load !== undefined || this.demand.paying.size > 0 || this.demand.trial.size > 0;
+        return this.pendingLoad !== undefined || this.demand.paying.size > 0 || this.demand.trial.size > 0;
     }
 
-    /** What is known of a model, for operators. */
+    /** Explains a model's placement to operators. */
     explain(model: string, now: number): PlacementExplanation {
         const state = this.demand.find(model);
         return {
@@ -132,23 +135,23 @@
             payingWaiting: state?.payingCount ?? 0,
             trialWaiting: state?.trialCount ?? 0,
             decayedArrivals: this.demand.popularity.readCount(model, now),
-            isNext: this.findWanted(now)?.model === model,
-            isLoading: this.load?.model === model,
+            isNext: this.findLoadRequest(now)?.model === model,
+            isLoading: this.pendingLoad?.model === model,
             modelsAhead: this.demand.paying.size,
             outlook: this.readOutlook(now),
         };
     }
 
-    /** What gateways need to know to refuse at once what cannot be loaded in time. */
+    /** Returns the expected waits, so that gateways can immediately refuse requests whose model cannot load in time. */
     readOutlook(now: number): LoadOutlook {
         const rate = this.options.readRate?.(now) ?? Infinity;
         const perLoadMs = Math.max(this.meanLoadMs, 1000 / rate);
-        const running = this.load === undefined ? 0 : 1;
+        const running = this.pendingLoad === undefined ? 0 : 1;
         return {
             payingWaitMs: (running + this.demand.paying.size) * perLoadMs,
             trialWaitMs: (running + this.demand.paying.size + this.demand.trial.size) * perLoadMs,
             loadMs: this.meanLoadMs,
-            loading: this.load?.model,
+            loading: this.pendingLoad?.model,
         };
     }
 
@@ -179,44 +182,45 @@
         }
     }
 
-    // What is known of engines.
+    // Engines.
 
     private receiveEngine(summary: EngineSummary): void {
-        // What a leaving engine holds is as good as not loaded: it gets nothing new.
+        // A leaving engine gets no new requests, so its models count as not loaded.
         const engine = summary.isLeaving ? { ...summary, models: [] } : summary;
         const before = this.engines.get(engine.id);
         const present = new Set(engine.models.map(slot => slot.model));
         for (const { model } of before?.models ?? []) {
             if (!present.has(model)) {
-                this.evictions.delete(formatPlace(engine.id, model));
-                this.demand.removePlace(engine.id, model);
+                this.evictions.delete(formatSlotKey(engine.id, model));
+                this.demand.removeSlot(engine.id, model);
             }
         }
         this.engines.set(engine.id, engine);
         for (const { model } of engine.models) {
-            this.demand.addPlace(engine.id, model);
+            this.demand.addSlot(engine.id, model);
         }
     }
 
     private removeEngine(engineId: string): void {
         for (const { model } of this.engines.get(engineId)?.models ?? []) {
-            this.demand.removePlace(engineId, model);
+            this.demand.removeSlot(engineId, model);
         }
         this.engines.delete(engineId);
         this.removeOrders(engineId);
     }
 
     /**
-     * Until somebody says how an order ended, or its time is over, it holds up every other load or eviction of the data
-     * centre. If one that is dropped here is carried out all the same, the engine's next summary shows it.
+     * Removes the orders for an engine. An order blocks every other load or eviction in the data centre until its outcome
+     * is reported or its timeout expires. If an order that is removed here is still carried out, the engine's next summary
+     * shows the result.
      */
     private removeOrders(engineId: string): void {
-        if (this.load?.engineId === engineId) {
-            this.load = undefined;
+        if (this.pendingLoad?.engineId === engineId) {
+            this.pendingLoad = undefined;
         }
-        for (const [place, order] of this.evictions) {
+        for (const [slotKey, order] of this.evictions) {
             if (order.engineId === engineId) {
-                this.evictions.delete(place);
+                this.evictions.delete(slotKey);
             }
         }
     }
@@ -224,77 +228,80 @@
     // Loads.
 
     private receiveLoadEnd(engineId: string, model: string, outcome: LoadOutcome, now: number): void {
-        const place = formatPlace(engineId, model);
+        const slotKey = formatSlotKey(engineId, model);
         if (outcome === "loaded") {
-            this.backoffs.delete(place);
+            this.backoffs.delete(slotKey);
         }
         else {
-            // Owners say in the same way that an eviction came to nothing. The time until the place is tried again holds
-            // for evictions too: an owner that has just lost its engine refuses each at once.
-            this.evictions.delete(place);
-            const failures = (this.backoffs.get(place)?.failures ?? 0) + 1;
-            this.backoffs.set(place, {
+            // Owners report an eviction that was not carried out in the same way. The backoff of the slot applies to
+            // evictions too, since an owner that has just lost its engine refuses each of them immediately.
+            this.evictions.delete(slotKey);
+            const failures = (this.backoffs.get(slotKey)?.failures ?? 0) + 1;
+            this.backoffs.set(slotKey, {
                 failures,
                 until: now + Math.min(minBackoffMs * 2 ** (failures - 1), maxBackoffMs),
             });
         }
-        if (this.load?.engineId !== engineId || this.load.model !== model) {
+        if (this.pendingLoad?.engineId !== engineId || this.pendingLoad.model !== model) {
             return;
         }
         if (outcome === "loaded") {
-            this.meanLoadMs += loadTimeGain * (now - this.load.at - this.meanLoadMs);
+            this.meanLoadMs += loadTimeSmoothing * (now - this.pendingLoad.orderedAt - this.meanLoadMs);
         }
-        this.load = undefined;
+        this.pendingLoad = undefined;
     }
 
     private expire(now: number): void {
         this.demand.expire(now);
-        if (this.load !== undefined && now - this.load.at > (this.options.loadTimeoutMs ?? 60_000)) {
-            this.receiveLoadEnd(this.load.engineId, this.load.model, "failed", now);
+        if (
+            this.pendingLoad !== undefined && now - this.pendingLoad.orderedAt > (this.options.loadTimeoutMs ?? 60_000)
+        ) {
+            this.receiveLoadEnd(this.pendingLoad.engineId, this.pendingLoad.model, "failed", now);
         }
-        for (const [place, order] of this.evictions) {
-            if (now - order.at > evictTimeoutMs) {
-                this.evictions.delete(place);
+        for (const [slotKey, order] of this.evictions) {
+            if (now - order.orderedAt > evictTimeoutMs) {
+                this.evictions.delete(slotKey);
             }
         }
-        for (const [place, backoff] of this.backoffs) {
+        for (const [slotKey, backoff] of this.backoffs) {
             if (now - backoff.until > maxBackoffMs) {
-                this.backoffs.delete(place);
+                this.backoffs.delete(slotKey);
             }
         }
     }
 
     private plan(now: number): PlacerCommand[] {
         const commands: PlacerCommand[] = [];
-        const isBusy = this.load !== undefined || now < this.nextLoadAt;
-        const wanted = this.findWanted(now);
-        if (wanted === undefined) {
+        const isBusy = this.pendingLoad !== undefined || now < this.nextLoadAt;
+        const loadRequest = this.findLoadRequest(now);
+        if (loadRequest === undefined) {
             return commands;
         }
-        const free = this.findFreeEngine(wanted, now);
+        const free = this.findFreeEngine(loadRequest, now);
         if (!isBusy && free !== undefined) {
-            commands.push(this.startLoad(wanted.model, free, now));
-            // While that load runs, a slot is made free for the next one.
-            const next = this.findWanted(now);
-            const isNextStuck = next !== undefined && next.mayEvict && this.findFreeEngine(next, now) === undefined;
-            return isNextStuck ? commands.concat(this.startEviction(next, now)) : commands;
+            commands.push(this.startLoad(loadRequest.model, free, now));
+            // Free a slot for the next load while this one runs.
+            const next = this.findLoadRequest(now);
+            const isNextBlocked = next !== undefined && next.mayEvict && this.findFreeEngine(next, now) === undefined;
+            return isNextBlocked ? commands.concat(this.startEviction(next, now)) : commands;
         }
-        if (free === undefined && wanted.mayEvict) {
-            commands.push(...this.startEviction(wanted, now));
+        if (free === undefined && loadRequest.mayEvict) {
+            commands.push(...this.startEviction(loadRequest, now));
         }
         return commands;
     }
 
-    /** The load that is worth most now. */
-    private findWanted(now: number): Wanted | undefined {
-        const isEligible = (model: string): boolean => this.load?.model !== model && this.hasPlace(model, now);
+    /** Returns the load with the highest value at present. */
+    private findLoadRequest(now: number): LoadRequest | undefined {
+        const isEligible = (model: string): boolean =>
+            this.pendingLoad?.model !== model && this.hasEngineFor(model, now);
         const paying = this.demand.paying.findBest(now, isEligible);
-        const replica = this.demand.replica.findBest(now, model => this.isReplicaWanted(model) && isEligible(model));
+        const replica = this.demand.replica.findBest(now, model => this.isReplicaNeeded(model) && isEligible(model));
         if (paying !== undefined || replica !== undefined) {
             const payingTotal = paying === undefined ? -1 : this.demand.paying.readTotal(paying, now);
             const replicaTotal = replica === undefined
                 ? -1
-                : replicaDiscount * this.demand.replica.readTotal(replica, now);
+                : replicaWeight * this.demand.replica.readTotal(replica, now);
             const model = payingTotal >= replicaTotal ? paying! : replica!;
             return { model, isTrial: false, mayEvict: true };
         }
@@ -306,17 +313,17 @@
         return prefetch === undefined ? undefined : { model: prefetch, isTrial: false, mayEvict: false };
     }
 
-    /** Whether some engine could take the model: not leaving, not holding it, and not backed off. */
-    private hasPlace(model: string, now: number): boolean {
+    /** Whether some engine could load the model: it is not leaving, does not hold the model and is not in backoff for it. */
+    private hasEngineFor(model: string, now: number): boolean {
         for (const engine of this.engines.values()) {
-            if (this.isCandidate(engine, model, now)) {
+            if (this.canLoadOn(engine, model, now)) {
                 return true;
             }
         }
         return false;
     }
 
-    private isCandidate(engine: EngineSummary, model: string, now: number): boolean {
+    private canLoadOn(engine: EngineSummary, model: string, now: number): boolean {
         if (engine.isLeaving || this.demand.isHeld(engine.id, model)) {
             return false;
         }
@@ -324,11 +331,11 @@
     }
 
     private isBackedOff(engineId: string, model: string, now: number): boolean {
-        return this.backoffs.size > 0 && now < (this.backoffs.get(formatPlace(engineId, model))?.until ?? 0);
+        return this.backoffs.size > 0 && now < (this.backoffs.get(formatSlotKey(engineId, model))?.until ?? 0);
     }
 
-    /** A replica is wanted where every engine that holds the model is full, and none is about to hold it. */
-    private isReplicaWanted(model: string): boolean {
+    /** Whether every engine that holds the model is full, and no engine is loading or evicting it. */
+    private isReplicaNeeded(model: string): boolean {
         for (const engineId of this.demand.find(model)?.engines ?? []) {
             const engine = this.engines.get(engineId);
             const slot = engine?.models.find(entry => entry.model === model);
@@ -340,29 +347,29 @@
         return true;
     }
 
-    /** A popular model that is not loaded; loaded into free slots only, while nobody waits. */
+    /** Returns a popular model that no engine holds. It is loaded only into a free slot and while no request waits. */
     private findPrefetch(now: number): string | undefined {
-        if (this.load !== undefined) {
+        if (this.pendingLoad !== undefined) {
             return undefined;
         }
-        const hottest = this.demand.findHottest(now);
-        return hottest !== undefined && this.hasPlace(hottest, now) ? hottest : undefined;
+        const hottest = this.demand.findMostPopular(now);
+        return hottest !== undefined && this.hasEngineFor(hottest, now) ? hottest : undefined;
     }
 
     private readFreeSlots(engine: EngineSummary): number {
-        const isLoadPending = this.load?.engineId === engine.id
-            && !engine.models.some(slot => slot.model === this.load?.model);
+        const isLoadPending = this.pendingLoad?.engineId === engine.id
+            && !engine.models.some(slot => slot.model === this.pendingLoad?.model);
         return engine.slots - engine.models.length - (isLoadPending ? 1 : 0);
     }
 
-    private findFreeEngine(wanted: Wanted, now: number): EngineSummary | undefined {
+    private findFreeEngine(loadRequest: LoadRequest, now: number): EngineSummary | undefined {
         let best: EngineSummary | undefined;
         let bestCost = Infinity;
         for (const engine of this.engines.values()) {
-            if (this.readFreeSlots(engine) <= 0 || !this.isCandidate(engine, wanted.model, now)) {
+            if (this.readFreeSlots(engine) <= 0 || !this.canLoadOn(engine, loadRequest.model, now)) {
                 continue;
             }
-            const cost = this.readPackCost(engine);
+            const cost = this.readPackingCost(engine);
             if (cost < bestCost) {
                 best = engine;
                 bestCost = cost;
@@ -371,10 +378,10 @@
         return best;
     }
 
-    /** 0 for the engine that placement would rather fill; full ones come last whatever the weights. */
-    private readPackCost(engine: EngineSummary): number {
+    /** Returns the cost of loading onto an engine; lower is better. Full engines rank last whatever the weights. */
+    private readPackingCost(engine: EngineSummary): number {
         const fullness = engine.inFlight / engine.batchRoom;
-        if (fullness >= packBound) {
+        if (fullness >= fullPackingRatio) {
             return 2 + fullness;
         }
         const stallWeight = this.options.stallWeight ?? 0.7;
@@ -382,7 +389,7 @@
     }
 
     private startLoad(model: string, engine: EngineSummary, now: number): PlacerCommand {
-        this.load = { engineId: engine.id, model, at: now };
+        this.pendingLoad = { engineId: engine.id, model, orderedAt: now };
         const rate = this.options.readRate?.(now) ?? Infinity;
         this.nextLoadAt = now + 1000 / rate;
         return { type: "load", engineId: engine.id, model };
@@ -390,63 +397,66 @@
 
     // Evictions.
 
-    private startEviction(wanted: Wanted, now: number): PlacerCommand[] {
-        if (this.hasEvictionUnderWay()) {
+    private startEviction(loadRequest: LoadRequest, now: number): PlacerCommand[] {
+        if (this.hasPendingEviction()) {
             return [];
         }
-        const victim = this.findVictim(wanted, now);
-        if (victim === undefined) {
+        const candidate = this.findEvictionCandidate(loadRequest, now);
+        if (candidate === undefined) {
             return [];
         }
-        this.evictions.set(formatPlace(victim.engineId, victim.model), victim);
-        return [{ type: "evict", engineId: victim.engineId, model: victim.model }];
+        this.evictions.set(formatSlotKey(candidate.engineId, candidate.model), candidate);
+        return [{ type: "evict", engineId: candidate.engineId, model: candidate.model }];
     }
 
-    /** One slot at a time is made free; an owner that is slow to do so is asked for another one after a while. */
-    private hasEvictionUnderWay(): boolean {
+    /** Limits evictions to one at a time. An eviction that its owner does not confirm in time no longer counts. */
+    private hasPendingEviction(): boolean {
         return this.evictions.size > 0;
     }
 
-    private findVictim(wanted: Wanted, now: number): Order | undefined {
+    private findEvictionCandidate(loadRequest: LoadRequest, now: number): Order | undefined {
         let best: Order | undefined;
         let bestCost = Infinity;
         for (const engine of this.engines.values()) {
-            if (!this.isCandidate(engine, wanted.model, now)) {
+            if (!this.canLoadOn(engine, loadRequest.model, now)) {
                 continue;
             }
             for (const slot of engine.models) {
                 if (slot.state !== "loaded" || this.isBackedOff(engine.id, slot.model, now)) {
                     continue;
                 }
-                const cost = this.readEvictCost(slot.model, slot.inUse, now) + this.readPackBias(engine);
-                if (cost < bestCost && this.isWorthEvicting(wanted, slot.model)) {
+                const cost = this.readEvictCost(slot.model, slot.inUse, now) + this.readPackingBias(engine);
+                if (cost < bestCost && this.isWorthEvicting(loadRequest, slot.model)) {
                     bestCost = cost;
-                    best = { engineId: engine.id, model: slot.model, at: now };
+                    best = { engineId: engine.id, model: slot.model, orderedAt: now };
                 }
             }
         }
         return best;
     }
 
-    /** Expected stalls a second that an eviction causes. What is in use costs the wait for its end besides. */
+    /** Expected stalls per second that an eviction causes. For a model in use, the wait for its requests adds to the cost. */
     private readEvictCost(model: string, inUse: number, now: number): number {
         const copies = this.demand.find(model)?.engines.size ?? 1;
         const waiting = this.demand.find(model)?.payingCount ?? 0;
         const rate = this.demand.popularity.readRate(model, now) / copies;
-        return rate + (inUse > 0 ? inUseCost : 0) + waiting * inUseCost;
+        return rate + (inUse > 0 ? inUseCostPerSecond : 0) + waiting * inUseCostPerSecond;
     }
 
-    private readPackBias(engine: EngineSummary): number {
+    private readPackingBias(engine: EngineSummary): number {
         const stallWeight = this.options.stallWeight ?? 0.7;
-        return (1 - stallWeight) * packBiasRate * this.readPackCost(engine);
+        return (1 - stallWeight) * maxPackingBias * this.readPackingCost(engine);
     }
 
-    /** A trial's adapter pushes out another trial's adapter, or what nobody paying has asked for. */
-    private isWorthEvicting(wanted: Wanted, victim: string): boolean {
-        if (!wanted.isTrial) {
+    /**
+     * Whether the load justifies the eviction. A load for trial requests evicts a model that paying customers have requested
+     * only while trial adapters hold less than their share of the slots.
+     */
+    private isWorthEvicting(loadRequest: LoadRequest, candidate: string): boolean {
+        if (!loadRequest.isTrial) {
             return true;
         }
-        return this.demand.find(victim)?.isPaying !== true
+        return this.demand.find(candidate)?.isPaying !== true
             || this.readTrialSlotShare() < (this.options.trialSlotShare ?? 0.25);
     }
 
@@ -461,19 +471,19 @@
     }
 }
 
-/** Cost, in requests a second, that makes any idle model a better victim than one in use. */
-const inUseCost = 1e6;
+/** Cost of evicting a model in use, in requests per second; high enough that any idle model is evicted first. */
+const inUseCostPerSecond = 1e6;
 
-/** Requests a second of a victim's rate that packing may outweigh. */
-const packBiasRate = 0.06;
+/** Maximum request rate of a model that the packing cost may outweigh in the choice of an eviction, in requests per second. */
+const maxPackingBias = 0.06;
 
-interface Wanted {
+interface LoadRequest {
     readonly model: string;
     readonly isTrial: boolean;
-    /** Whether a slot may be made free for it. */
+    /** Whether a model may be evicted to free a slot for this load. */
     readonly mayEvict: boolean;
 }
 
-function formatPlace(engineId: string, model: string): string {
+function formatSlotKey(engineId: string, model: string): string {
     return `${engineId} ${model}`;
 }
--- a/packages/placement/src/popularity.ts
+++ b/packages/placement/src/popularity.ts
@@ -1,15 +1,15 @@
-/** Below this decayed count a model is forgotten. */
-const forgottenCount = 1 / 256;
+/** Decayed count below which a model's popularity is removed. */
+const minCount = 1 / 256;
 
 /** Options of {@link Popularity}. */
 export interface PopularityOptions {
-    /** Time after which an arrival counts half, in milliseconds. @default 150000 */
+    /** Half-life of an arrival's weight, in milliseconds. @default 150000 */
     readonly halfLifeMs?: number;
 }
 
 /**
- * Decayed counts of arrivals. A count is kept as the logarithm of its value at time zero: that number does not change
- * as time passes, so that models can stand in an order that only an arrival moves.
+ * Exponentially decayed counts of arrivals. Each count is stored as the logarithm of its value extrapolated to time zero.
+ * This score does not change over time, so only an arrival changes the order of the models.
  */
 export class Popularity {
     private readonly scores = new Map<string, number>();
@@ -26,25 +26,25 @@
         return score;
     }
 
-    /** Comparable between models at any time; higher is more popular. */
+    /** Returns a score that is comparable between models at any time; a higher score means more popular. */
     readScore(model: string): number {
         return this.scores.get(model) ?? -Infinity;
     }
 
-    /** The decayed count. */
+    /** Returns the decayed count at `now`. */
     readCount(model: string, now: number): number {
         const score = this.scores.get(model);
         return score === undefined ? 0 : 2 ** (score - now / this.halfLifeMs);
     }
 
-    /** Arrivals a second that the decayed count stands for. */
+    /** Returns the arrivals per second to which the decayed count corresponds. */
     readRate(model: string, now: number): number {
         return this.readCount(model, now) * Math.LN2 / (this.halfLifeMs / 1000);
     }
 
-    /** Forgets models that have hardly been asked for. Costs a pass over all of them. */
+    /** Removes models whose decayed count is below the minimum. Scans all models. */
     expire(now: number): void {
-        const floor = Math.log2(forgottenCount) + now / this.halfLifeMs;
+        const floor = Math.log2(minCount) + now / this.halfLifeMs;
         for (const [model, score] of this.scores) {
             if (score < floor) {
                 this.scores.delete(model);
--- a/packages/placement/src/rank.ts
+++ b/packages/placement/src/rank.ts
@@ -3,38 +3,38 @@
 interface RankEntry {
     readonly model: string;
     readonly startSum: number;
-    readonly stamp: number;
+    readonly revision: number;
 }
 
-interface Waiting {
+interface WaitingRequests {
     count: number;
-    /** Sum of the arrival times of those that wait. */
+    /** Sum of the arrival times of the waiting requests. */
     startSum: number;
-    stamp: number;
+    revision: number;
 }
 
 /**
- * Orders models by the total time that their requests have waited. That order changes as time passes, but among models
- * with equally many waiting requests it does not: each such group is a heap, and only the groups' heads are compared.
+ * Ranks models by the total time that their requests have waited. The ranking changes over time, but not among models
+ * with the same number of waiting requests. Each such group is a heap, and only the heads of the groups are compared.
  */
 export class WaitRank {
-    private readonly waiting = new Map<string, Waiting>();
+    private readonly waiting = new Map<string, WaitingRequests>();
     private readonly groups = new Map<number, TinyQueue<RankEntry>>();
-    private stamp = 0;
+    private revision = 0;
 
-    /** Sets how many wait for a model and the sum of their arrival times. A count of 0 removes it. */
+    /** Sets the number of requests that wait for a model and the sum of their arrival times. A count of 0 removes it. */
     setWaiting(model: string, count: number, startSum: number): void {
         if (count === 0) {
             this.waiting.delete(model);
             return;
         }
-        const stamp = ++this.stamp;
-        this.waiting.set(model, { count, startSum, stamp });
+        const stamp = ++this.revision;
+        this.waiting.set(model, { count, startSum, revision: stamp });
         const group = this.groups.get(count)
             ?? new TinyQueue<RankEntry>([], compareEntries);
         this.groups.set(count, group);
-        group.push({ model, startSum, stamp });
-        if (group.length > minGroupEntries + maxGroupEntries * this.waiting.size) {
+        group.push({ model, startSum, revision: stamp });
+        if (group.length > minGroupEntries + maxGroupEntriesPerModel * this.waiting.size) {
             const current = group.data.filter(entry => this.isCurrent(entry));
             this.groups.set(count, new TinyQueue(current, compareEntries));
         }
@@ -44,13 +44,13 @@
         return this.waiting.size;
     }
 
-    /** Total time waited for a model, in milliseconds. */
+    /** Returns the total time that requests have waited for a model, in milliseconds. */
     readTotal(model: string, now: number): number {
         const entry = this.waiting.get(model);
         return entry === undefined ? 0 : entry.count * now - entry.startSum;
     }
 
-    /** The model with the longest total wait among those that are eligible. */
+    /** Returns the eligible model with the longest total wait. */
     findBest(now: number, isEligible: (model: string) => boolean): string | undefined {
         let best: string | undefined;
         let bestTotal = -Infinity;
@@ -69,30 +69,33 @@
     }
 
     private findHead(group: TinyQueue<RankEntry>, isEligible: (model: string) => boolean): RankEntry | undefined {
-        const passedOver: RankEntry[] = [];
+        const popped: RankEntry[] = [];
         let head: RankEntry | undefined;
         while (head === undefined && group.length > 0) {
             const entry = group.pop()!;
             if (!this.isCurrent(entry)) {
                 continue;
             }
-            passedOver.push(entry);
+            popped.push(entry);
             head = isEligible(entry.model) ? entry : undefined;
         }
-        for (const entry of passedOver) {
+        for (const entry of popped) {
             group.push(entry);
         }
         return head;
     }
 
-    /** Later words on a model leave its older entries behind in the heaps. */
+    /** Whether the entry is its model's latest; earlier entries stay in the heaps after an update. */
     private isCurrent(entry: RankEntry): boolean {
-        return this.waiting.get(entry.model)?.stamp === entry.stamp;
+        return this.waiting.get(entry.model)?.revision === entry.revision;
     }
 }
 
-/** Entries that are tolerated in a heap for each model that waits, before the stale ones are dropped. */
-const maxGroupEntries = 4;
+/**
+ * Size limits of a heap: its stale entries are removed when it holds more than the minimum plus this many entries per
+ * model with waiting requests.
+ */
+const maxGroupEntriesPerModel = 4;
 const minGroupEntries = 100;
 
 function compareEntries(left: RankEntry, right: RankEntry): number {
--- a/packages/placement/src/share.ts
+++ b/packages/placement/src/share.ts
@@ -1,57 +1,57 @@
 /** Options of {@link StoreShare}. */
 export interface StoreShareOptions {
     readonly dataCentre: string;
-    /** Loads a second that the weight store bears, over all data centres. */
+    /** Loads per second that the weight store sustains, over all data centres. */
     readonly loadsPerSecond: number;
-    /** Weights of the data centres; one that is not listed weighs 1. */
+    /** Weights of the data centres; a data centre that is not listed has weight 1. */
     readonly weights: Readonly<Record<string, number>>;
-    /** A data centre that was not heard for this long is taken to use its share. @default 3000 */
+    /** Time without a message after which a data centre is assumed to use its share, in milliseconds. @default 3000 */
     readonly silenceMs?: number;
 }
 
-interface Other {
+interface OtherDataCentre {
     isWanting: boolean;
-    heardAt: number;
+    receivedAt: number;
 }
 
 /**
- * A data centre's part of the weight store's rate. Shares are fixed by weights, and a data centre that has nothing to
- * load says so and lends its own. One that cannot be heard is counted as using its share, so that a cut never makes
- * two sides use the same part.
+ * A data centre's share of the weight store's load rate. Shares are fixed by weights; a data centre that has nothing to
+ * load reports so and lends its share to the others. A data centre that sends no messages counts as using its share, so
+ * that a network partition never makes both sides use the same share.
  */
 export class StoreShare {
-    private readonly others = new Map<string, Other>();
+    private readonly others = new Map<string, OtherDataCentre>();
     private readonly silenceMs: number;
 
     constructor(private options: StoreShareOptions) {
         this.silenceMs = options.silenceMs ?? 3000;
     }
 
-    /** Takes new offerings. */
+    /** Applies new offerings. */
     setOptions(options: StoreShareOptions): void {
         this.options = options;
     }
 
-    /** Makes another data centre known, before it was ever heard. */
+    /** Adds another data centre before its first message. */
     addDataCentre(dataCentre: string): void {
         if (dataCentre !== this.options.dataCentre && !this.others.has(dataCentre)) {
-            this.others.set(dataCentre, { isWanting: true, heardAt: -Infinity });
+            this.others.set(dataCentre, { isWanting: true, receivedAt: -Infinity });
         }
     }
 
-    /** Takes another data centre's word. */
+    /** Applies another data centre's report of whether it has loads to run. */
     receive(dataCentre: string, isWanting: boolean, now: number): void {
         if (dataCentre !== this.options.dataCentre) {
-            this.others.set(dataCentre, { isWanting, heardAt: now });
+            this.others.set(dataCentre, { isWanting, receivedAt: now });
         }
     }
 
-    /** Loads a second that this data centre may start now. */
+    /** Returns the loads per second that this data centre may start now. */
     readRate(now: number): number {
         const { dataCentre, loadsPerSecond, weights } = this.options;
         const own = weights[dataCentre] ?? 1;
         let total = own;
-        for (const [other, { isWanting, heardAt }] of this.others) {
+        for (const [other, { isWanting, receivedAt: heardAt }] of this.others) {
             if (isWanting || now - heardAt > this.silenceMs) {
                 total += weights[other] ?? 1;
             }
--- a/packages/placement/src/types.ts
+++ b/packages/placement/src/types.ts
@@ -1,11 +1,11 @@
-/** Requests of one class that wait for a model. */
+/** Waiting requests of one class for a model. */
 export interface Waiting {
     readonly count: number;
-    /** Sum of the time they have waited, in milliseconds. */
+    /** Sum of the requests' waiting times, in milliseconds. */
     readonly ageMs: number;
 }
 
-/** What one gateway wants of one model. Counts are absolute, arrivals are since its last word. */
+/** One gateway's demand for one model. Counts are absolute; arrivals are counted since the gateway's last report. */
 export interface ModelDemand {
     readonly model: string;
     readonly paying: Waiting;
@@ -14,18 +14,18 @@
     readonly trialArrivals: number;
 }
 
-/** State of a model on an engine. Only `loaded` ones are leased. */
+/** State of a model on an engine. Only models in the state `loaded` are leased. */
 export type SlotState = "loading" | "loaded" | "revoking" | "evicting";
 
 /** One model on an engine. */
 export interface SlotSummary {
     readonly model: string;
     readonly state: SlotState;
-    /** Requests that use it, as far as is known. */
+    /** Requests that use the model, according to the gateways' renewals. */
     readonly inUse: number;
 }
 
-/** One engine as its owner sees it. */
+/** State of one engine as its owner reports it. */
 export interface EngineSummary {
     readonly id: string;
     readonly slots: number;
@@ -35,5 +35,5 @@
     readonly models: readonly SlotSummary[];
 }
 
-/** How a load ended. */
+/** Outcome of a load. */
 export type LoadOutcome = "loaded" | "failed" | "refused";
--- a/packages/placement/test/placer.test.ts
+++ b/packages/placement/test/placer.test.ts
@@ -34,7 +34,7 @@
     return decide;
 }
 
-test("a load of which nobody says how it ended holds up the next one until orders to its owner count as lost", () => {
+test("a load without a reported outcome blocks the next load until the orders to its owner count as lost", () => {
     const decide = createPlacer(createEngine("x", 1));
     assert.equal(decide(createDemand("a@1"), 0), [{ type: "load", engineId: "x", model: "a@1" }]);
     assert.equal(decide(createEngine("y", 2), 10), []);
@@ -42,7 +42,7 @@
     assert.equal(decide({ type: "ordersLost", engineId: "x" }, 30), [{ type: "load", engineId: "x", model: "a@1" }]);
 });
 
-test("a lost load does not count as failed, and its late end does not end the one that took its place", () => {
+test("a lost load does not count as failed, and its late outcome does not finish the load that follows it", () => {
     const decide = createPlacer(createEngine("x", 2));
     decide(createDemand("a@1", "b@1"), 0);
     decide({ type: "ordersLost", engineId: "x" }, 10);
@@ -54,7 +54,7 @@
     assert.equal(decide({ type: "loadEnded", engineId: "x", model: "a@1", outcome: "loaded" }, 50), []);
 });
 
-test("an eviction that counts as lost is planned anew", () => {
+test("an eviction that counts as lost is ordered again", () => {
     const decide = createPlacer(createEngine("x", 1, ["a@1"]));
     const evict: PlacerCommand = { type: "evict", engineId: "x", model: "a@1" };
     assert.equal(decide(createDemand("b@1"), 0), [evict]);
@@ -63,7 +63,7 @@
     assert.equal(decide(createEngine("x", 1), 300), [{ type: "load", engineId: "x", model: "b@1" }]);
 });
 
-test("an eviction that comes to nothing makes room for another one, and is not ordered again at once", () => {
+test("after a refused eviction the placer orders another one, and repeats the refused one only after a backoff", () => {
     const decide = createPlacer(createEngine("x", 1, ["a@1"]), createEngine("y", 1, ["b@1"]));
     const [first] = decide(createDemand("c@1"), 0);
     assert.is(first?.type, "evict");
--- a/packages/placement/test/rank.test.ts
+++ b/packages/placement/test/rank.test.ts
@@ -5,7 +5,7 @@
 
 const models = ["a", "b", "c", "d", "e"];
 
-test("the rank finds the same model as a scan over all of them", () => {
+test("WaitRank finds a model with the same total wait as a scan over all models", () => {
     const step = fc.record({
         model: fc.constantFrom(...models),
         count: fc.nat(4),
@@ -39,7 +39,7 @@
     );
 });
 
-test("a decayed count halves with each half-life, and orders do not change with time alone", () => {
+test("a decayed count halves with each half-life, and the order of models does not change without arrivals", () => {
     const popularity = new Popularity({ halfLifeMs: 1000 });
     popularity.recordArrivals("old", 8, 0);
     popularity.recordArrivals("new", 3, 1000);
@@ -50,15 +50,15 @@
     assert.is(popularity.size, 0);
 });
 
-/** What is heard of the other of two data centres with equal shares, and what may then be loaded here. */
-const shares: readonly { name: string; isWanting: boolean; heardAt: number; rate: number; }[] = [
+/** Last report of the other of two data centres with equal shares, and the load rate permitted to this one. */
+const shareCases: readonly { name: string; isWanting: boolean; heardAt: number; rate: number; }[] = [
     { name: "uses its share", isWanting: true, heardAt: 0, rate: 1 },
     { name: "lends its share", isWanting: false, heardAt: 0, rate: 2 },
-    { name: "lent its share but cannot be heard any more", isWanting: false, heardAt: -10_000, rate: 1 },
+    { name: "lent its share but sends no more messages", isWanting: false, heardAt: -10_000, rate: 1 },
 ];
 
-for (const { name, isWanting, heardAt, rate } of shares) {
-    test(`${rate} loads a second may start when the other data centre ${name}`, () => {
+for (const { name, isWanting, heardAt, rate } of shareCases) {
+    test(`${rate} loads per second may start when the other data centre ${name}`, () => {
         const share = new StoreShare({ dataCentre: "here", loadsPerSecond: 2, weights: {} });
         share.addDataCentre("there");
         share.receive("there", isWanting, heardAt);
@@ -66,7 +66,7 @@
     });
 }
 
-test("a data centre that was never heard is taken to use its share", () => {
+test("a data centre that has never sent a message counts as using its share", () => {
     const share = new StoreShare({ dataCentre: "here", loadsPerSecond: 3, weights: { there: 2 } });
     share.addDataCentre("there");
     assert.is(share.readRate(0), 1);
