--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -439,7 +439,7 @@
     private readEvictCost(model: string, inUse: number, now: number): number {
         const copies = this.demand.find(model)?.engines.size ?? 1;
         const waiting = this.demand.find(model)?.payingCount ?? 0;
-        const rate = this.demand.popularity.readRate(model, now) / copies;
+        const rate = this.demand.popularity.readArrivalRate(model, now) / copies;
         return rate + (inUse > 0 ? inUseCostPerSecond : 0) + waiting * inUseCostPerSecond;
     }
 
--- a/packages/placement/src/popularity.ts
+++ b/packages/placement/src/popularity.ts
@@ -38,7 +38,7 @@
     }
 
     /** Returns the arrivals per second to which the decayed count corresponds. */
-    readRate(model: string, now: number): number {
+    readArrivalRate(model: string, now: number): number {
         return this.readCount(model, now) * Math.LN2 / (this.halfLifeMs / 1000);
     }
 
