--- a/packages/dispatch/src/budget.ts
+++ b/packages/dispatch/src/budget.ts
@@ -1,18 +1,18 @@
-/** Retries that are allowed before any success, and the most that are saved up. */
+/** Retries available before the first success, and the maximum that can accumulate. */
 const initialRetries = 10;
 const maxRetries = 50;
 
-/** Lets retries be only a share of recent successes, so that they never multiply an overload. */
+/** Limits retries to a share of recent successes, so that retries never amplify an overload. */
 export class RetryBudget {
     private available = initialRetries;
 
-    constructor(private readonly share: number) {}
+    constructor(private readonly retriesPerSuccess: number) {}
 
     recordSuccess(): void {
-        this.available = Math.min(this.available + this.share, maxRetries);
+        this.available = Math.min(this.available + this.retriesPerSuccess, maxRetries);
     }
 
-    /** Takes one retry if there is one. */
+    /** Takes one retry from the budget. Returns false if none is available. */
     claim(): boolean {
         if (this.available < 1) {
             return false;
--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -2,7 +2,7 @@
 import TinyQueue from "tinyqueue";
 import { RetryBudget } from "./budget.js";
 import { EngineView } from "./engine.js";
-import { FairClock } from "./fair.js";
+import { VirtualClock } from "./fair.js";
 import { PrefixIndex } from "./prefixes.js";
 import { ModelQueue, type QueueEntry } from "./queue.js";
 import {
@@ -19,7 +19,7 @@
     resolveDispatcherOptions,
 } from "./types.js";
 
-/** One request on an engine. */
+/** A request that was dispatched to an engine. */
 interface Attempt {
     readonly entry: QueueEntry;
     readonly engineId: string;
@@ -28,21 +28,22 @@
 
 const classes: readonly CustomerClass[] = ["paying", "trial"];
 
-/** Bonus of an engine that has the prompt's prefix cached, against a fullness between 0 and 1. */
+/** Cost reduction for an engine that has the prompt's prefix cached; costs from fullness are between 0 and 1. */
 const prefixBonus = 0.5;
 
-/** How long an engine is not asked again for a request that it did not run, in milliseconds. */
+/** Time during which an engine is not chosen again for a request that it did not run, in milliseconds. */
 const exclusionMs = 400;
 
-/** Shortest Retry-After, in seconds. */
+/** Minimum Retry-After, in seconds. */
 const minRetryAfterSeconds = 1;
 
 /**
- * Decides when and where one gateway's requests run. Paying requests never wait behind trial ones, customers of a
- * class share fairly, and what cannot make its deadline is refused at once. See docs/design/dispatch.md.
+ * Decides when and on which engine one gateway's requests run. Paying requests never wait behind trial requests, customers
+ * of a class share capacity fairly, and a request that cannot meet its deadline is refused immediately.
+ * See docs/design/dispatch.md.
  */
 export class Dispatcher {
-    /** Shared with the engines' views, so that a change is in force everywhere at once. */
+    /** Shared with every EngineView, so that a change applies to all of them immediately. */
     private readonly options: ResolvedDispatcherOptions;
     private readonly queues = new Map<string, ModelQueue>();
     private readonly engines = new Map<string, EngineView>();
@@ -52,7 +53,10 @@
         [],
         (left, right) => left.request.deadlineAt - right.request.deadlineAt,
     );
-    private readonly clocks: Record<CustomerClass, FairClock> = { paying: new FairClock(), trial: new FairClock() };
+    private readonly clocks: Record<CustomerClass, VirtualClock> = {
+        paying: new VirtualClock(),
+        trial: new VirtualClock(),
+    };
     private readonly queued: Record<CustomerClass, number> = { paying: 0, trial: 0 };
     private readonly changedModels = new Set<string>();
     private readonly prefixes = new PrefixIndex();
@@ -65,29 +69,29 @@
         this.budget = new RetryBudget(this.options.retryShare);
     }
 
-    /** Takes new offerings; what is left out keeps its default. */
+    /** Applies new offerings; omitted options return to their defaults. */
     setOptions(options: DispatcherOptions): void {
         Object.assign(this.options, resolveDispatcherOptions(options));
     }
 
-    /** Takes one event and returns what to do. */
+    /** Handles one event and returns the resulting commands. */
     decide(event: DispatchEvent, now: number): DispatchCommand[] {
         this.commands = [];
-        // First of all, so that no request is dispatched after its deadline.
+        // Expire requests before handling the event, so that no request is dispatched after its deadline.
         this.expire(now);
         this.receive(event, now);
         return this.commands;
     }
 
     /**
-     * What changed since the last call, for the placer. Arrivals are told once.
-     * @param isUrgent Leaves out models for which nobody waits now or did when last told: only arrivals were counted.
+     * Returns the demand that changed since the last call, for the placer. Each arrival is reported once.
+     * @param isUrgent Omits models whose number of waiting requests is the same as in the last report.
      */
     readDemand(now: number, isUrgent = false): ModelDemand[] {
         const changes: ModelDemand[] = [];
         for (const model of this.changedModels) {
             const queue = this.queues.get(model);
-            if (isUrgent && queue?.isWaitingChanged === false) {
+            if (isUrgent && queue?.hasWaitingChanged === false) {
                 continue;
             }
             this.changedModels.delete(model);
@@ -99,7 +103,7 @@
         return changes;
     }
 
-    /** Everything that waits, for a placer that has just taken over. */
+    /** Returns the demand of all models with waiting requests, for a placer that has just taken over. */
     readWholeDemand(now: number): ModelDemand[] {
         for (const queue of this.queues.values()) {
             if (!queue.isEmpty) {
@@ -109,7 +113,7 @@
         return this.readDemand(now);
     }
 
-    /** When `decide` must be called with a tick at the latest; undefined if nothing waits. */
+    /** Returns the latest time at which `decide` must be called with a tick; undefined if no request waits. */
     findNextWake(now: number): number | undefined {
         let next = this.findHeadDeadline()?.checkAt;
         if (next === undefined) {
@@ -121,7 +125,7 @@
         return next;
     }
 
-    /** Requests that wait and that run. */
+    /** Number of waiting and running requests. */
     get openRequests(): number {
         return this.entries.size + this.attempts.size;
     }
@@ -181,14 +185,14 @@
 
     private findRefusal(request: DispatchRequest, queue: ModelQueue, now: number): DispatchCommand | undefined {
         if (this.queued[request.customerClass] >= this.options.maxQueued) {
-            const retryAfter = this.formatRetryAfter(this.readWait(request, queue));
+            const retryAfter = this.formatRetryAfter(this.readWaitMs(request, queue));
             return {
                 type: "refuse",
                 request,
-                verdict: createRefused("queueFull", "too many requests wait here", retryAfter),
+                verdict: createRefused("queueFull", "the queue is full: too many requests are waiting", retryAfter),
             };
         }
-        const waitMs = this.readWait(request, queue);
+        const waitMs = this.readWaitMs(request, queue);
         if (now + waitMs < request.deadlineAt) {
             return undefined;
         }
@@ -200,21 +204,21 @@
         };
     }
 
-    /** Expected wait of a request that arrives now, in milliseconds. */
-    private readWait(request: DispatchRequest, queue: ModelQueue): number {
+    /** Returns the expected wait of a request that arrives now, in milliseconds. */
+    private readWaitMs(request: DispatchRequest, queue: ModelQueue): number {
         if (queue.engines.size === 0) {
-            // Others wait for the same load already: its turn comes before that of a load asked for now.
-            const isAskedFor = queue.countWaiting("paying") + queue.countWaiting("trial") > 0;
-            const wholeWaitMs = request.customerClass === "paying"
+            // Other requests already wait for this load, so it starts before a load that is requested now.
+            const isLoadRequested = queue.countWaiting("paying") + queue.countWaiting("trial") > 0;
+            const fullWaitMs = request.customerClass === "paying"
                 ? this.outlook.payingWaitMs
                 : this.outlook.trialWaitMs;
-            return isAskedFor ? wholeWaitMs / 2 : wholeWaitMs;
+            return isLoadRequested ? fullWaitMs / 2 : fullWaitMs;
         }
-        return this.readQueueWait(queue, request.customerClass);
+        return this.readQueueWaitMs(queue, request.customerClass);
     }
 
-    /** Wait for batch room behind the requests of the class that wait for the model. */
-    private readQueueWait(queue: ModelQueue, customerClass: CustomerClass): number {
+    /** Returns the expected wait for batch room behind the requests that already wait for the model, in milliseconds. */
+    private readQueueWaitMs(queue: ModelQueue, customerClass: CustomerClass): number {
         const ahead = queue.countWaiting("paying") + (customerClass === "trial" ? queue.countWaiting("trial") : 0);
         let room = 0;
         let durationMs = 0;
@@ -289,21 +293,24 @@
                 this.deadlines.push(entry);
                 continue;
             }
-            const waitMs = this.readWait(request, queue);
+            const waitMs = this.readWaitMs(request, queue);
             this.dequeue(entry);
             const verdict = createRefused(
                 "deadlinePassed",
-                "no engine was free in time",
+                "no engine became available in time",
                 this.formatRetryAfter(waitMs),
             );
             this.commands.push({ type: "refuse", request, verdict });
         }
     }
 
-    /** A request whose load has not begun when it would have to is given up then: loading for it would be in vain. */
+    /**
+     * Returns when to check whether the request has expired. If its model is neither leased nor loading, this is the
+     * latest time at which a load could start and still finish before the deadline.
+     */
     private readCheckAt(request: DispatchRequest, queue: ModelQueue): number {
-        const isComing = queue.engines.size > 0 || this.outlook.loading === request.model;
-        return isComing ? request.deadlineAt : request.deadlineAt - this.outlook.loadMs;
+        const isLoading = queue.engines.size > 0 || this.outlook.loading === request.model;
+        return isLoading ? request.deadlineAt : request.deadlineAt - this.outlook.loadMs;
     }
 
     // Engines.
@@ -340,7 +347,7 @@
         const queue = this.queues.get(model);
         if (queue !== undefined) {
             queue.engines.delete(engineId);
-            // Those that wait now wait for a load, which the placer must hear of.
+            // The waiting requests may now need a load, so the placer must be notified.
             this.changedModels.add(model);
         }
     }
@@ -356,7 +363,7 @@
 
     // Dispatch.
 
-    /** Dispatches what waits for one model, for as long as engines that lease it have room. */
+    /** Dispatches the waiting requests of one model while an engine on which the model is leased has room. */
     private serveModel(queue: ModelQueue, now: number): void {
         for (const customerClass of classes) {
             for (
@@ -373,7 +380,7 @@
         }
     }
 
-    /** Fills an engine's room from all the models leased on it, paying requests first, by fair tag. */
+    /** Fills an engine's room from all models leased on it, paying requests first, in the order of their fair queueing tags. */
     private serveEngine(engine: EngineView, now: number): void {
         for (const customerClass of classes) {
             while (engine.hasRoom(customerClass, now)) {
@@ -418,7 +425,10 @@
         return best;
     }
 
-    /** Weighing stalls prefers the emptier batch, weighing fullness the fuller one; a cached prefix outweighs both. */
+    /**
+     * Returns the cost of an engine for a request; lower is better. A high stall weight prefers the emptier batch, a low
+     * one the fuller batch; a cached prefix lowers the cost.
+     */
     private readCost(engine: EngineView, request: DispatchRequest): number {
         const { stallWeight } = this.options;
         const { fullness } = engine;
@@ -476,9 +486,9 @@
             engine?.recordSuccess(now - attempt.startedAt);
             return;
         }
-        // A lease that lapsed, or a model that has just left, says nothing about the engine's health.
-        const isOwnFault = outcome === "cancelled" || reason === "leaseLapsed" || reason === "upstreamRefused";
-        if (!isOwnFault) {
+        // An expired lease or a model that was just evicted does not indicate a failure of the engine.
+        const isUnrelatedToHealth = outcome === "cancelled" || reason === "leaseLapsed" || reason === "upstreamRefused";
+        if (!isUnrelatedToHealth) {
             engine?.recordFailure(now);
         }
     }
@@ -487,7 +497,11 @@
         const { entry } = attempt;
         const { request } = entry;
         if (!this.budget.claim()) {
-            const verdict = createRefused("retryBudgetSpent", `not run: ${reason}`, minRetryAfterSeconds);
+            const verdict = createRefused(
+                "retryBudgetSpent",
+                `retry budget exhausted; the request was not run: ${reason}`,
+                minRetryAfterSeconds,
+            );
             this.commands.push({ type: "refuse", request, verdict });
             return;
         }
@@ -501,7 +515,7 @@
         this.serveModel(queue, now);
     }
 
-    /** An engine that refuses a model as not loaded is not asked for it again before its next grant. */
+    /** An engine that refuses a model as not loaded is not chosen for it again before its next grant. */
     private removeRefusedLease(engineId: string, model: string, reason: Reason): void {
         if (reason === "upstreamRefused" || reason === "leaseLapsed") {
             this.engines.get(engineId)?.models.delete(model);
--- a/packages/dispatch/src/engine.ts
+++ b/packages/dispatch/src/engine.ts
@@ -1,15 +1,15 @@
 import type { CustomerClass, LeasedEngine, ResolvedDispatcherOptions } from "./types.js";
 
-/** Longest pause of an engine that keeps failing, in milliseconds. */
+/** Maximum pause of an engine that fails repeatedly, in milliseconds. */
 const maxPauseMs = 30_000;
 
-/** Part of its batch room that an engine gets after a cold start; each completion adds one. */
-const coldStartShare = 0.25;
+/** Share of the batch room that is used after an engine's cold start; each completed request adds one to the room. */
+const coldStartRoomShare = 0.25;
 
-/** Weight of a new measurement in the mean duration of requests. */
-const durationGain = 0.1;
+/** Weight of a new measurement in the moving average of request durations. */
+const durationSmoothing = 0.1;
 
-/** One engine in the eyes of one gateway. */
+/** A gateway's view of one engine: its lease, the requests on it and its recent failures. */
 export class EngineView {
     models = new Set<string>();
     ownPaying = 0;
@@ -18,13 +18,13 @@
     private failures = 0;
     private pausedUntil = -Infinity;
     /** Batch room while the engine warms up after a cold start. */
-    private warmRoom: number;
+    private warmUpRoom: number;
     private meanDuration: number | undefined;
 
     constructor(lease: LeasedEngine, private readonly options: ResolvedDispatcherOptions) {
         this.lease = lease;
-        this.warmRoom = lease.batchRoom;
-        this.models = createModels(lease);
+        this.warmUpRoom = lease.batchRoom;
+        this.models = createLeasedModels(lease);
     }
 
     get id(): string {
@@ -35,26 +35,26 @@
         return this.lease.isLeaving;
     }
 
-    /** Mean time from dispatch to the end, in milliseconds; undefined before the first. */
+    /** Moving average of the time from dispatch to completion, in milliseconds; undefined before the first completion. */
     get meanDurationMs(): number | undefined {
         return this.meanDuration;
     }
 
-    /** Takes a new lease. Returns the models that are leased anew. */
+    /** Applies a new lease. Returns the models that the previous lease did not contain. */
     setLease(lease: LeasedEngine): string[] {
         if (lease.instance !== this.lease.instance) {
-            this.warmRoom = Math.max(1, Math.floor(lease.batchRoom * coldStartShare));
+            this.warmUpRoom = Math.max(1, Math.floor(lease.batchRoom * coldStartRoomShare));
             this.failures = 0;
             this.pausedUntil = -Infinity;
         }
         this.lease = lease;
-        const models = createModels(lease);
+        const models = createLeasedModels(lease);
         const added = [...models].filter(model => !this.models.has(model));
         this.models = models;
         return added;
     }
 
-    /** Requests on the engine, those of other gateways as last heard. */
+    /** Requests on the engine, including those of other gateways according to the lease. */
     get inFlight(): number {
         return this.ownPaying + this.ownTrial + this.lease.othersPaying + this.lease.othersTrial;
     }
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Whether the engine may take a request. A paying one does not count trial ones, since the engine serves by
-     * priority; a trial one leaves the batch to paying ones save for its share.
+     * Whether the engine may take a request of the class. For a paying request, trial requests do not count, since the
+     * engine serves by priority. Trial requests get only their share of the batch while paying requests use the engine.
      */
     hasRoom(customerClass: CustomerClass, now: number): boolean {
         if (this.lease.isLeaving || now < this.pausedUntil) {
@@ -81,28 +81,28 @@
         return trial < trialRoom && paying + trial < room;
     }
 
-    /** Batch room, smaller after a cold start, and 1 while a failing engine is tried again. */
+    /** Returns the usable batch room: smaller after a cold start, and 1 while a failing engine is probed. */
     readRoom(now: number): number {
         if (this.failures >= this.options.breakerFailures && now >= this.pausedUntil) {
             return 1;
         }
-        return Math.min(this.lease.batchRoom, this.warmRoom);
+        return Math.min(this.lease.batchRoom, this.warmUpRoom);
     }
 
     recordDispatch(customerClass: CustomerClass): void {
-        this.addOwn(customerClass, 1);
+        this.addOwnRequests(customerClass, 1);
     }
 
     recordEnd(customerClass: CustomerClass): void {
-        this.addOwn(customerClass, -1);
+        this.addOwnRequests(customerClass, -1);
     }
 
     recordSuccess(durationMs: number): void {
         this.failures = 0;
-        this.warmRoom = Math.min(this.warmRoom + 1, this.lease.batchRoom);
+        this.warmUpRoom = Math.min(this.warmUpRoom + 1, this.lease.batchRoom);
         this.meanDuration = this.meanDuration === undefined
             ? durationMs
-            : this.meanDuration + durationGain * (durationMs - this.meanDuration);
+            : this.meanDuration + durationSmoothing * (durationMs - this.meanDuration);
     }
 
     recordFailure(now: number): void {
@@ -113,12 +113,12 @@
         }
     }
 
-    /** When a pause ends; undefined if there is none. */
+    /** Returns the end of the engine's pause; undefined if the engine is not paused. */
     findPauseEnd(now: number): number | undefined {
         return now < this.pausedUntil ? this.pausedUntil : undefined;
     }
 
-    private addOwn(customerClass: CustomerClass, count: number): void {
+    private addOwnRequests(customerClass: CustomerClass, count: number): void {
         if (customerClass === "paying") {
             this.ownPaying += count;
         }
@@ -128,7 +128,7 @@
     }
 }
 
-/** What a leaving engine holds is as good as not loaded: it gets nothing new. */
-function createModels(lease: LeasedEngine): Set<string> {
+/** Returns the models of a lease; none for a leaving engine, since it gets no new requests. */
+function createLeasedModels(lease: LeasedEngine): Set<string> {
     return new Set(lease.isLeaving ? [] : lease.models);
 }
--- a/packages/dispatch/src/fair.ts
+++ b/packages/dispatch/src/fair.ts
@@ -1,28 +1,28 @@
 import type { DispatchRequest } from "./types.js";
 
 /**
- * Start tags of start-time fair queueing: between customers of a class the request with the lowest tag goes first, and
- * each request moves its customer's next tag on by its cost over the customer's weight. A burst of one customer thus
- * waits behind others' single requests, and an idle customer saves nothing up.
+ * Virtual clock of start-time fair queueing. Between customers of a class, the request with the lowest start tag goes
+ * first, and each request advances its customer's next tag by its cost divided by the customer's weight. A burst of one
+ * customer therefore waits behind single requests of others, and an idle customer accumulates no credit.
  */
-export class FairClock {
+export class VirtualClock {
     private virtualTime = 0;
     private readonly finishTags = new Map<string, number>();
 
-    /** Tag of a request that arrives now. */
+    /** Returns the start tag of a request that arrives now. */
     createTag(request: DispatchRequest): number {
         const start = Math.max(this.virtualTime, this.finishTags.get(request.customer) ?? 0);
         this.finishTags.set(request.customer, start + 1 / request.weight);
         return start;
     }
 
-    /** Moves on to the tag of a request that is dispatched, and forgets customers that are not ahead of it. */
+    /** Advances to the tag of a dispatched request, and removes customers whose finish tag is not later. */
     advance(tag: number): void {
         if (tag <= this.virtualTime) {
             return;
         }
         this.virtualTime = tag;
-        if (this.finishTags.size <= this.sweepAt) {
+        if (this.finishTags.size <= this.pruneAt) {
             return;
         }
         for (const [customer, finish] of this.finishTags) {
@@ -30,11 +30,11 @@
                 this.finishTags.delete(customer);
             }
         }
-        this.sweepAt = 2 * this.finishTags.size + minSweep;
+        this.pruneAt = 2 * this.finishTags.size + minPruneCustomers;
     }
 
-    private sweepAt = minSweep;
+    private pruneAt = minPruneCustomers;
 }
 
-/** Customers that are remembered before the first sweep. */
-const minSweep = 1000;
+/** Number of customers that are stored before the first pruning. */
+const minPruneCustomers = 1000;
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions of a gateway: admission, queues, engine choice, retries. */
+/** Decision logic without I/O for a gateway: admission, queues, choice of engine, retries. */
 export { Dispatcher } from "./dispatcher.js";
 export {
     type AttemptOutcome,
--- a/packages/dispatch/src/prefixes.ts
+++ b/packages/dispatch/src/prefixes.ts
@@ -1,9 +1,9 @@
-/** Prompt prefixes that are remembered for one engine. */
+/** Maximum number of prompt prefixes stored per engine. */
 const maxPrefixes = 4096;
 
 /**
- * Which engine probably has which prompt prefix cached: from own dispatches, corrected by the engines' cache events,
- * which come late and with gaps. A wrong guess costs a cache miss and nothing else.
+ * Index of the prompt prefixes that each engine probably has cached, built from this gateway's dispatches and corrected by
+ * the engines' cache events, which arrive late and with gaps. A wrong entry costs only a cache miss.
  */
 export class PrefixIndex {
     private readonly engines = new Map<string, Set<string>>();
@@ -11,7 +11,7 @@
     recordCached(engineId: string, prefix: string): void {
         const prefixes = this.engines.get(engineId) ?? new Set();
         this.engines.set(engineId, prefixes);
-        // Re-inserted, so that the set's order is that of the last use.
+        // Re-insert the prefix, so that the set is ordered by last use.
         prefixes.delete(prefix);
         prefixes.add(prefix);
         if (prefixes.size > maxPrefixes) {
@@ -24,7 +24,7 @@
         this.engines.get(engineId)?.delete(prefix);
     }
 
-    /** A process that starts anew has nothing cached. */
+    /** Removes an engine; after a restart it has no prefix cached. */
     removeEngine(engineId: string): void {
         this.engines.delete(engineId);
     }
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -6,11 +6,11 @@
     readonly request: DispatchRequest;
     /** Start tag of fair queueing. */
     readonly tag: number;
-    /** Engines that have refused it, and until when they are not asked again. */
+    /** Engines that did not run the request, with the time until which they are not chosen again. */
     readonly excluded: Map<string, number>;
-    /** When it began to wait for a load; undefined if its model was leased when it came. */
+    /** Time at which the request began to wait for a load; undefined if its model was leased when the request arrived. */
     readonly stalledAt: number | undefined;
-    /** When it must be looked at again: its deadline, or when a load for it could no longer end in time. */
+    /** Time of the next check: the deadline, or the time after which a load for the request could not finish before it. */
     checkAt: number;
     isWaiting: boolean;
 }
@@ -18,7 +18,7 @@
 interface ClassQueue {
     readonly heap: TinyQueue<QueueEntry>;
     count: number;
-    /** Sum of the arrival times of those that wait. */
+    /** Sum of the arrival times of the waiting requests. */
     startSum: number;
     arrivals: number;
 }
@@ -31,18 +31,18 @@
     return { heap: new TinyQueue<QueueEntry>([], compareEntries), count: 0, startSum: 0, arrivals: 0 };
 }
 
-/** The requests that wait for one model. */
+/** Queue of the requests that wait for one model. */
 export class ModelQueue {
     /** Engines on which the model is leased. */
     readonly engines = new Set<string>();
-    /** When it was last leased after having been leased nowhere. */
+    /** Last time at which the model became leased on an engine after it was leased on none. */
     leasedAt = -Infinity;
     private readonly classes: Record<CustomerClass, ClassQueue> = {
         paying: createClassQueue(),
         trial: createClassQueue(),
     };
 
-    private told: Record<CustomerClass, number> = { paying: 0, trial: 0 };
+    private reportedCounts: Record<CustomerClass, number> = { paying: 0, trial: 0 };
 
     constructor(readonly model: string) {}
 
@@ -53,7 +53,7 @@
         queue.startSum += entry.request.arrivedAt;
     }
 
-    /** Takes an entry out; the heap forgets it when it comes to its head. */
+    /** Removes an entry; the heap drops it when it reaches the head. */
     remove(entry: QueueEntry): void {
         const queue = this.classes[entry.request.customerClass];
         entry.isWaiting = false;
@@ -61,7 +61,7 @@
         queue.startSum -= entry.request.arrivedAt;
     }
 
-    /** The entry that goes first; undefined if none waits. */
+    /** Returns the next waiting entry of a class; undefined if no request waits. */
     findHead(customerClass: CustomerClass): QueueEntry | undefined {
         const { heap } = this.classes[customerClass];
         while (heap.length > 0 && !heap.peek()!.isWaiting) {
@@ -74,10 +74,10 @@
         return this.classes[customerClass].count;
     }
 
-    /** Whether the number of those that wait differs from what the placer was last told. */
-    get isWaitingChanged(): boolean {
+    /** Whether the number of waiting requests differs from the last report to the placer. */
+    get hasWaitingChanged(): boolean {
         const { paying, trial } = this.classes;
-        return paying.count !== this.told.paying || trial.count !== this.told.trial;
+        return paying.count !== this.reportedCounts.paying || trial.count !== this.reportedCounts.trial;
     }
 
     get isEmpty(): boolean {
@@ -88,7 +88,7 @@
         this.classes[customerClass].arrivals++;
     }
 
-    /** What to tell the placer; arrivals are counted anew from here. */
+    /** Returns the demand report for the placer and resets the arrival counts. */
     readDemand(now: number): ModelDemand {
         const { paying, trial } = this.classes;
         const demand: ModelDemand = {
@@ -100,7 +100,7 @@
         };
         paying.arrivals = 0;
         trial.arrivals = 0;
-        this.told = { paying: paying.count, trial: trial.count };
+        this.reportedCounts = { paying: paying.count, trial: trial.count };
         return demand;
     }
 }
--- a/packages/dispatch/src/types.ts
+++ b/packages/dispatch/src/types.ts
@@ -1,54 +1,54 @@
 import type { Reason, RefusedVerdict } from "@radishreel/verdict";
 
-/** Whether a customer pays or tries. */
+/** Whether a customer pays or is on trial. */
 export type CustomerClass = "paying" | "trial";
 
-/** One request that waits for an engine. Times are those of the driver's clock, in milliseconds. */
+/** A request that waits for an engine. Times are in milliseconds, on the clock of the caller of `decide`. */
 export interface DispatchRequest {
     readonly id: string;
     /** `adapter@version`. */
     readonly model: string;
     readonly customer: string;
     readonly customerClass: CustomerClass;
-    /** Share against other customers of the class. */
+    /** Weight against other customers of the class in fair queueing. */
     readonly weight: number;
     readonly arrivedAt: number;
     /** The request is refused unless it is dispatched before this time. */
     readonly deadlineAt: number;
-    /** Names the start of the prompt, for engines that hold it in their prefix cache. */
+    /** Identifies the prompt's prefix, for engines that hold it in their prefix cache. */
     readonly prefix?: string;
 }
 
-/** One engine as its owner leases it. */
+/** An engine as its owner has leased it to this gateway. */
 export interface LeasedEngine {
     readonly id: string;
     readonly instance: string;
     readonly batchRoom: number;
     readonly isLeaving: boolean;
     readonly models: readonly string[];
-    /** Requests that other gateways have on it. */
+    /** Requests of other gateways on the engine, by class. */
     readonly othersPaying: number;
     readonly othersTrial: number;
 }
 
-/** What the placer says of loads. Times in milliseconds. */
+/** The placer's expected waits for loads, in milliseconds. */
 export interface LoadOutlook {
-    /** How long a load that is asked for now would wait. */
+    /** Expected wait of a load that is requested now, by class. */
     readonly payingWaitMs: number;
     readonly trialWaitMs: number;
-    /** Mean time of one load. */
+    /** Mean duration of one load. */
     readonly loadMs: number;
-    /** Model that is being loaded now. */
+    /** Model that is currently loading. */
     readonly loading?: string;
 }
 
-/** How an attempt ended, as far as dispatch is concerned. */
+/** Outcome of an attempt, as far as dispatch distinguishes it. */
 export type AttemptOutcome = "complete" | "notRun" | "mayHaveRun" | "cancelled";
 
-/** What a dispatcher hears. */
+/** Events that a dispatcher handles. */
 export type DispatchEvent =
     | { readonly type: "arrive"; readonly request: DispatchRequest; }
-    /** The caller went away while its request waited. */
+    /** The caller left while its request waited. */
     | { readonly type: "cancel"; readonly requestId: string; }
     | {
         readonly type: "ended";
@@ -57,21 +57,21 @@
         readonly outcome: AttemptOutcome;
         readonly reason?: Reason;
     }
-    /** Engines whose lease is valid, with what is leased on them. */
+    /** New lease of an engine. */
     | { readonly type: "engine"; readonly engine: LeasedEngine; }
     | { readonly type: "engineGone"; readonly engineId: string; }
     | { readonly type: "outlook"; readonly outlook: LoadOutlook; }
-    /** A cache event of an engine; late and with gaps. */
+    /** Cache event of an engine; such events arrive late and with gaps. */
     | { readonly type: "prefix"; readonly engineId: string; readonly prefix: string; readonly isCached: boolean; }
     | { readonly type: "tick"; };
 
-/** What a dispatcher wants done. */
+/** Commands that a dispatcher returns for its caller to carry out. */
 export type DispatchCommand =
     | {
         readonly type: "dispatch";
         readonly request: DispatchRequest;
         readonly engineId: string;
-        /** Time the request waited because its model was loaded nowhere, in milliseconds. */
+        /** Time that the request waited because its model was leased on no engine, in milliseconds. */
         readonly stallMs: number;
         /** Share of the engine's batch room in use with this request. */
         readonly fullness: number;
@@ -79,7 +79,7 @@
     | { readonly type: "refuse"; readonly request: DispatchRequest; readonly verdict: RefusedVerdict; }
     | { readonly type: "retry"; readonly requestId: string; readonly reason: Reason; };
 
-/** What one gateway wants of one model, for the placer. */
+/** One gateway's demand for one model, reported to the placer. */
 export interface ModelDemand {
     readonly model: string;
     readonly paying: { readonly count: number; readonly ageMs: number; };
@@ -90,17 +90,17 @@
 
 /** Options of a dispatcher. */
 export interface DispatcherOptions {
-    /** 1 weighs load stalls only, 0 weighs batch fullness only. @default 0.7 */
+    /** Weight of load stalls against batch fullness: 1 considers only stalls, 0 only fullness. @default 0.7 */
     readonly stallWeight?: number;
-    /** Share of an engine's batch room for trial requests while paying ones use the engine. @default 0.3 */
+    /** Share of an engine's batch room for trial requests while paying requests use the engine. @default 0.3 */
     readonly trialBatchShare?: number;
-    /** Most requests of a class that wait in one gateway. @default 10000 */
+    /** Maximum number of requests of a class that wait in one gateway. @default 10000 */
     readonly maxQueued?: number;
-    /** Retries allowed for each success. @default 0.2 */
+    /** Retries permitted per successful request. @default 0.2 */
     readonly retryShare?: number;
-    /** Failures in a row after which an engine is left alone for a while. @default 5 */
+    /** Consecutive failures after which an engine is paused. @default 5 */
     readonly breakerFailures?: number;
-    /** First pause of an engine that fails, in milliseconds; it doubles with each further failure. @default 1000 */
+    /** First pause of a failing engine, in milliseconds; it doubles with each further failure. @default 1000 */
     readonly breakerPauseMs?: number;
 }
 
--- a/packages/dispatch/test/dispatcher.test.ts
+++ b/packages/dispatch/test/dispatcher.test.ts
@@ -36,19 +36,19 @@
     return commands.filter(command => command.type === "dispatch").map(command => command.request.id);
 }
 
-/** A dispatcher with one engine that holds `a@1`. */
+/** Creates a dispatcher with a lease of `a@1` on one engine. */
 function createDispatcher(options: DispatcherOptions = {}, batchRoom = 2): Dispatcher {
     const dispatcher = new Dispatcher(options);
     dispatcher.decide(createLease("engine", ["a@1"], { batchRoom }), 0);
     return dispatcher;
 }
 
-test("a request is dispatched at once where its model is leased and there is room", () => {
+test("a request is dispatched immediately to an engine that has room and a lease of its model", () => {
     const dispatcher = createDispatcher();
     assert.equal(listDispatched(dispatcher.decide({ type: "arrive", request: createRequest("1") }, 0)), ["1"]);
 });
 
-test("a request waits for its model, and goes when it is leased", () => {
+test("a request waits while its model is not leased and is dispatched when it becomes leased", () => {
     const dispatcher = createDispatcher();
     assert.equal(dispatcher.decide({ type: "arrive", request: createRequest("1", { model: "b@1" }) }, 0), []);
     assert.equal(dispatcher.readDemand(100)[0], {
@@ -62,7 +62,7 @@
     assert.ok(command?.type === "dispatch" && command.stallMs === 500);
 });
 
-test("when room comes free, paying requests go before trial ones that came earlier", () => {
+test("when batch room becomes free, a paying request is dispatched before a trial request that arrived earlier", () => {
     const dispatcher = createDispatcher({}, 1);
     dispatcher.decide({ type: "arrive", request: createRequest("running") }, 0);
     dispatcher.decide(
@@ -77,7 +77,7 @@
     assert.equal(listDispatched(commands), ["paying"]);
 });
 
-test("trial requests that fill an engine do not keep a paying one out", () => {
+test("a paying request is dispatched to an engine that is full of trial requests", () => {
     const dispatcher = createDispatcher({}, 2);
     for (const id of ["1", "2", "3"]) {
         dispatcher.decide({ type: "arrive", request: createRequest(id, { customerClass: "trial", customer: "t" }) }, 0);
@@ -87,7 +87,7 @@
     ]);
 });
 
-test("a burst of one customer does not starve another of its class", () => {
+test("a burst of one customer does not starve another customer of the same class", () => {
     const dispatcher = createDispatcher({}, 1);
     dispatcher.decide({ type: "arrive", request: createRequest("running", { customer: "burst" }) }, 0);
     for (let index = 0; index < 20; index++) {
@@ -109,7 +109,7 @@
     assert.ok(order.slice(0, 2).includes("rival"), order.join(" "));
 });
 
-test("what cannot make its deadline is refused at once, with when to come back", () => {
+test("a request that cannot meet its deadline is refused immediately, with a Retry-After", () => {
     const dispatcher = createDispatcher();
     dispatcher.decide({ type: "outlook", outlook: { payingWaitMs: 20_000, trialWaitMs: 20_000, loadMs: 500 } }, 0);
     const [command] = dispatcher.decide({ type: "arrive", request: createRequest("1", { model: "cold@1" }) }, 0);
@@ -117,7 +117,7 @@
     assert.equal([command.verdict.reason, command.verdict.retryAfterSeconds], ["deadlineUnreachable", 20]);
 });
 
-test("a request whose load can no longer end in time is given up then, not at its deadline", () => {
+test("a request whose load can no longer finish in time is refused at that time, not at its deadline", () => {
     const dispatcher = createDispatcher();
     dispatcher.decide({ type: "outlook", outlook: { payingWaitMs: 0, trialWaitMs: 0, loadMs: 500 } }, 0);
     dispatcher.decide({ type: "arrive", request: createRequest("1", { model: "cold@1", deadlineAt: 2000 }) }, 0);
@@ -127,7 +127,7 @@
     assert.ok(command?.type === "refuse" && command.verdict.reason === "deadlinePassed");
 });
 
-test("a request waits until its deadline while its model is being loaded", () => {
+test("a request waits until its deadline while its model is loading", () => {
     const dispatcher = createDispatcher();
     dispatcher.decide({ type: "arrive", request: createRequest("1", { model: "cold@1", deadlineAt: 2000 }) }, 0);
     dispatcher.decide(
@@ -138,16 +138,16 @@
     assert.is(dispatcher.decide({ type: "tick" }, 2000)[0]?.type, "refuse");
 });
 
-test("a leaving engine gets nothing new, and what it holds is asked for elsewhere", () => {
+test("a leaving engine gets no new requests, and the demand for its models is reported", () => {
     const dispatcher = createDispatcher();
     dispatcher.decide(createLease("engine", ["a@1"], { isLeaving: true }), 1);
     assert.equal(dispatcher.decide({ type: "arrive", request: createRequest("1") }, 2), []);
     assert.is(dispatcher.readDemand(3, true)[0]?.paying.count, 1);
 });
 
-/** Why an attempt was not run, and whether it is tried elsewhere. */
+/** Reasons for which an attempt was not run and is retried. */
 for (const reason of ["connectFailed", "upstreamRefused", "leaseLapsed"] as const) {
-    test(`an attempt that was not run for "${reason}" is tried at another engine`, () => {
+    test(`an attempt that was not run because of "${reason}" is retried on another engine`, () => {
         const dispatcher = createDispatcher();
         dispatcher.decide(createLease("other", ["a@1"]), 0);
         const [first] = dispatcher.decide({ type: "arrive", request: createRequest("1") }, 0);
@@ -164,7 +164,7 @@
     });
 }
 
-test("an attempt that may have run is not tried again", () => {
+test("an attempt that may have run is not retried", () => {
     const dispatcher = createDispatcher();
     dispatcher.decide(createLease("other", ["a@1"]), 0);
     const [first] = dispatcher.decide({ type: "arrive", request: createRequest("1") }, 0);
@@ -175,7 +175,7 @@
     );
 });
 
-test("retries are a share of successes: an engine that refuses everything is not asked without end", () => {
+test("the retry budget limits the attempts on an engine that refuses every request", () => {
     const dispatcher = createDispatcher();
     let dispatches = 0;
     let refusals = 0;
@@ -207,7 +207,7 @@
     assert.ok(dispatches < 230, `${dispatches} dispatches`);
 });
 
-test("an engine that fails five times in a row is left alone, then tried with one request", () => {
+test("an engine that fails five times in a row is paused, then probed with one request", () => {
     const dispatcher = createDispatcher({}, 8);
     for (let index = 0; index < 5; index++) {
         dispatcher.decide({ type: "arrive", request: createRequest(`f${index}`) }, 0);
@@ -231,7 +231,7 @@
     );
 });
 
-test("an engine that has just started cold is filled slowly", () => {
+test("an engine after a cold start gets only part of its batch room", () => {
     const dispatcher = createDispatcher({}, 8);
     dispatcher.decide(createLease("engine", ["a@1"], { batchRoom: 8, instance: "2" }), 1);
     const dispatched = Array.from(
@@ -241,7 +241,7 @@
     assert.equal(dispatched, ["0", "1"]);
 });
 
-test("the two weights choose different engines for the same request", () => {
+test("a high stall weight chooses the emptier engine, a low one the fuller engine", () => {
     const choose = (stallWeight: number): string | undefined => {
         const dispatcher = new Dispatcher({ stallWeight });
         dispatcher.decide(createLease("empty", ["a@1"], { batchRoom: 8 }), 0);
@@ -253,7 +253,7 @@
     assert.is(choose(0.1), "busy");
 });
 
-test("a request goes where its prompt's prefix is cached", () => {
+test("a request is dispatched to the engine that has its prompt's prefix cached", () => {
     const dispatcher = new Dispatcher({ stallWeight: 0.9 });
     dispatcher.decide(createLease("empty", ["a@1"], { batchRoom: 8 }), 0);
     dispatcher.decide(createLease("busy", ["a@1"], { batchRoom: 8, othersPaying: 2 }), 0);
@@ -293,11 +293,11 @@
     models: fc.subarray(modelNames),
 });
 
-/** A naive version's view: which requests wait, run and have ended, and where models are leased. */
-class Ledger {
+/** Reference model of the dispatcher: the waiting, running and finished requests, and the leased models per engine. */
+class ExpectedState {
     readonly waiting = new Map<string, DispatchRequest>();
     readonly running = new Map<string, { request: DispatchRequest; engineId: string; }>();
-    readonly ended = new Set<string>();
+    readonly finished = new Set<string>();
     readonly leases = new Map<string, Set<string>>();
 
     receive(commands: readonly DispatchCommand[]): void {
@@ -310,46 +310,46 @@
             }
             if (command.type === "refuse") {
                 assert.ok(this.waiting.delete(command.request.id), `${command.request.id} is refused without waiting`);
-                this.ended.add(command.request.id);
+                this.finished.add(command.request.id);
             }
         }
     }
 
-    /** No trial request runs that was dispatched while a paying one could have used its room. */
+    /** Checks that no trial request was dispatched while a paying request could have used its room. */
     check(commands: readonly DispatchCommand[]): void {
         const trials = commands.filter(command =>
             command.type === "dispatch" && command.request.customerClass === "trial"
         );
         for (const trial of trials) {
             const engineId = trial.type === "dispatch" ? trial.engineId : "";
-            const held = this.leases.get(engineId) ?? new Set();
-            const passedOver = [...this.waiting.values()].find(request =>
-                request.customerClass === "paying" && held.has(request.model)
+            const leasedModels = this.leases.get(engineId) ?? new Set();
+            const overtaken = [...this.waiting.values()].find(request =>
+                request.customerClass === "paying" && leasedModels.has(request.model)
             );
-            assert.is(passedOver, undefined, "a trial request went before a paying one");
+            assert.is(overtaken, undefined, "a trial request was dispatched before a paying one");
         }
     }
 }
 
-test("over random histories no request is lost, answered twice, or sent where its model is not leased", () => {
+test("in random event sequences, no request is lost, finished twice or dispatched without a lease of its model", () => {
     fc.assert(
         fc.property(fc.array(stepArbitrary, { maxLength: 120 }), steps => {
             const dispatcher = new Dispatcher({ breakerFailures: 1000, retryShare: 1 });
-            const ledger = new Ledger();
+            const expected = new ExpectedState();
             let now = 0;
             let count = 0;
             let hasFailed = false;
             const run = (event: DispatchEvent): void => {
                 const commands = dispatcher.decide(event, now);
-                ledger.receive(commands);
-                // An engine that refuses a model is not asked for it before its next grant, which this view does not know.
+                expected.receive(commands);
+                // An engine that refuses a model is not chosen for it before its next grant; ExpectedState does not model this.
                 if (!hasFailed) {
-                    ledger.check(commands);
+                    expected.check(commands);
                 }
             };
             for (const { kind, pick, model, customerClass, engine, models } of steps) {
                 now += 50;
-                const running = [...ledger.running.values()][pick % Math.max(1, ledger.running.size)];
+                const running = [...expected.running.values()][pick % Math.max(1, expected.running.size)];
                 switch (kind) {
                     case "arrive": {
                         const request = createRequest(String(++count), {
@@ -359,7 +359,7 @@
                             arrivedAt: now,
                             deadlineAt: now + 1000,
                         });
-                        ledger.waiting.set(request.id, request);
+                        expected.waiting.set(request.id, request);
                         run({ type: "arrive", request });
                         break;
                     }
@@ -368,12 +368,12 @@
                         hasFailed ||= kind === "fail";
                         if (running !== undefined) {
                             const { request, engineId } = running;
-                            ledger.running.delete(request.id);
+                            expected.running.delete(request.id);
                             if (kind === "end") {
-                                ledger.ended.add(request.id);
+                                expected.finished.add(request.id);
                             }
                             else {
-                                ledger.waiting.set(request.id, request);
+                                expected.waiting.set(request.id, request);
                             }
                             run({
                                 type: "ended",
@@ -385,31 +385,35 @@
                         }
                         break;
                     case "cancel": {
-                        const [id] = [...ledger.waiting.keys()];
+                        const [id] = [...expected.waiting.keys()];
                         if (id !== undefined) {
-                            ledger.waiting.delete(id);
-                            ledger.ended.add(id);
+                            expected.waiting.delete(id);
+                            expected.finished.add(id);
                             run({ type: "cancel", requestId: id });
                         }
                         break;
                     }
                     case "lease":
-                        ledger.leases.set(engine, new Set(models));
+                        expected.leases.set(engine, new Set(models));
                         run(createLease(engine, models, { batchRoom: 3 }));
                         break;
                     case "gone":
-                        ledger.leases.delete(engine);
+                        expected.leases.delete(engine);
                         run({ type: "engineGone", engineId: engine });
                         break;
                     case "tick":
                         run({ type: "tick" });
                 }
-                assert.is(ledger.waiting.size + ledger.running.size + ledger.ended.size, count, "a request was lost");
-                assert.is(dispatcher.openRequests, ledger.waiting.size + ledger.running.size);
+                assert.is(
+                    expected.waiting.size + expected.running.size + expected.finished.size,
+                    count,
+                    "a request was lost",
+                );
+                assert.is(dispatcher.openRequests, expected.waiting.size + expected.running.size);
             }
             now += 5000;
             run({ type: "tick" });
-            assert.is(ledger.waiting.size, 0, "a request waits beyond its deadline");
+            assert.is(expected.waiting.size, 0, "a request waits beyond its deadline");
         }),
         { seed: 17, numRuns: 1500 },
     );
