--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -38,8 +38,8 @@
 const minRetryAfterSeconds = 1;
 
 /**
- * Decides when and on which engine one gateway's requests run. Paying requests never wait behind trial requests, customers
- * of a class share capacity fairly, and a request that cannot meet its deadline is refused immediately.
+ * Decides when and on which engine one gateway's requests run. Paying requests never wait behind trial requests,
+ * customers of a class share capacity fairly, and a request that cannot meet its deadline is refused immediately.
  * See docs/design/dispatch.md.
  */
 export class Dispatcher {
@@ -217,7 +217,7 @@
         return this.readQueueWaitMs(queue, request.customerClass);
     }
 
-    /** Returns the expected wait for batch room behind the requests that already wait for the model, in milliseconds. */
+    /** Returns the expected wait for batch room behind the requests that wait for the model, in milliseconds. */
     private readQueueWaitMs(queue: ModelQueue, customerClass: CustomerClass): number {
         const ahead = queue.countWaiting("paying") + (customerClass === "trial" ? queue.countWaiting("trial") : 0);
         let room = 0;
@@ -380,7 +380,7 @@
         }
     }
 
-    /** Fills an engine's room from all models leased on it, paying requests first, in the order of their fair queueing tags. */
+    /** Fills an engine's room from all models leased on it, paying requests first, in the order of their start tags. */
     private serveEngine(engine: EngineView, now: number): void {
         for (const customerClass of classes) {
             while (engine.hasRoom(customerClass, now)) {
@@ -426,8 +426,8 @@
     }
 
     /**
-     * Returns the cost of an engine for a request; lower is better. A high stall weight prefers the emptier batch, a low
-     * one the fuller batch; a cached prefix lowers the cost.
+     * Returns the cost of an engine for a request; lower is better. A high stall weight prefers the emptier batch, a
+     * low one the fuller batch; a cached prefix lowers the cost.
      */
     private readCost(engine: EngineView, request: DispatchRequest): number {
         const { stallWeight } = this.options;
--- a/packages/dispatch/src/engine.ts
+++ b/packages/dispatch/src/engine.ts
@@ -35,7 +35,7 @@
         return this.lease.isLeaving;
     }
 
-    /** Moving average of the time from dispatch to completion, in milliseconds; undefined before the first completion. */
+    /** Moving average of the time from dispatch to completion, in milliseconds; undefined before any completion. */
     get meanDurationMs(): number | undefined {
         return this.meanDuration;
     }
--- a/packages/dispatch/src/prefixes.ts
+++ b/packages/dispatch/src/prefixes.ts
@@ -2,8 +2,8 @@
 const maxPrefixes = 4096;
 
 /**
- * Index of the prompt prefixes that each engine probably has cached, built from this gateway's dispatches and corrected by
- * the engines' cache events, which arrive late and with gaps. A wrong entry costs only a cache miss.
+ * Index of the prompt prefixes that each engine probably has cached, built from this gateway's dispatches and corrected
+ * by the engines' cache events, which arrive late and with gaps. A wrong entry costs only a cache miss.
  */
 export class PrefixIndex {
     private readonly engines = new Map<string, Set<string>>();
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -8,9 +8,9 @@
     readonly tag: number;
     /** Engines that did not run the request, with the time until which they are not chosen again. */
     readonly excluded: Map<string, number>;
-    /** Time at which the request began to wait for a load; undefined if its model was leased when the request arrived. */
+    /** Time at which the request began to wait for a load; undefined if its model was leased on arrival. */
     readonly stalledAt: number | undefined;
-    /** Time of the next check: the deadline, or the time after which a load for the request could not finish before it. */
+    /** Time of the next check: the deadline, or the latest start of a load that finishes before the deadline. */
     checkAt: number;
     isWaiting: boolean;
 }
--- a/packages/dispatch/test/dispatcher.test.ts
+++ b/packages/dispatch/test/dispatcher.test.ts
@@ -342,7 +342,7 @@
             const run = (event: DispatchEvent): void => {
                 const commands = dispatcher.decide(event, now);
                 expected.receive(commands);
-                // An engine that refuses a model is not chosen for it before its next grant; ExpectedState does not model this.
+                // ExpectedState does not model that an engine that refuses a model is not chosen before its next grant.
                 if (!hasFailed) {
                     expected.check(commands);
                 }
--- a/packages/placement/src/demand.ts
+++ b/packages/placement/src/demand.ts
@@ -3,7 +3,7 @@
 import { WaitRank } from "./rank.js";
 import type { ModelDemand } from "./types.js";
 
-/** Waiting requests for a model, at one gateway or in total. Each `...Start` field is the sum of their arrival times. */
+/** Waiting requests for a model, at one gateway or in total. The `...Start` fields are sums of arrival times. */
 interface WaitingSum {
     payingCount: number;
     payingStart: number;
@@ -31,7 +31,7 @@
 }
 
 /**
- * Size limits of the heap of popular models: the stale entries are removed when the heap holds more than the minimum plus
+ * Size limits of the heap of popular models: its stale entries are removed when it holds more than the minimum plus
  * this many entries per counted model.
  */
 const maxHotEntriesPerModel = 4;
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions about slots, leases, loads and evictions. */
+/** Decision logic without I/O for adapter slots, leases, loads and evictions. */
 export type {
     EngineCounts,
     EngineReport,
--- a/packages/placement/src/owner.ts
+++ b/packages/placement/src/owner.ts
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Another owner has claimed the engine. This owner sends no orders and grants no leases until it claims it again. */
+    /** Another owner has claimed the engine: this owner sends no orders and grants no leases until it reclaims it. */
     private receiveFenced(engineId: string, now: number): OwnerCommand[] {
         const engine = this.engines.get(engineId);
         if (engine === undefined) {
@@ -235,7 +235,7 @@
             this.receiveNewInstance(engine, report);
         }
         if (engine.fence !== undefined && report.fence > engine.fence) {
-            // Engines that ignore tokens still report them, so an owner that was paused learns that it has lost the engine.
+            // Engines that ignore tokens still report them, so an owner that was paused learns that it lost the engine.
             return this.receiveFenced(engineId, now);
         }
         const isLeaving = engine.isLeaving || report.isLeaving;
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -52,7 +52,7 @@
     readonly decayedArrivals: number;
     readonly isNext: boolean;
     readonly isLoading: boolean;
-    /** Models that paying customers wait for. */
+    /** Number of models that no engine holds and paying requests wait for. */
     readonly modelsAhead: number;
     readonly outlook: LoadOutlook;
 }
@@ -210,9 +210,9 @@
     }
 
     /**
-     * Removes the orders for an engine. An order blocks every other load or eviction in the data centre until its outcome
-     * is reported or its timeout expires. If an order that is removed here is still carried out, the engine's next summary
-     * shows the result.
+     * Removes the orders for an engine. An order blocks every other load or eviction in the data centre until its
+     * outcome is reported or its timeout expires. If an order that is removed here is still carried out, the engine's
+     * next summary shows the result.
      */
     private removeOrders(engineId: string): void {
         if (this.pendingLoad?.engineId === engineId) {
@@ -313,7 +313,7 @@
         return prefetch === undefined ? undefined : { model: prefetch, isTrial: false, mayEvict: false };
     }
 
-    /** Whether some engine could load the model: it is not leaving, does not hold the model and is not in backoff for it. */
+    /** Whether some engine could load the model: it is not leaving, does not hold the model and does not back off. */
     private hasEngineFor(model: string, now: number): boolean {
         for (const engine of this.engines.values()) {
             if (this.canLoadOn(engine, model, now)) {
@@ -435,7 +435,7 @@
         return best;
     }
 
-    /** Expected stalls per second that an eviction causes. For a model in use, the wait for its requests adds to the cost. */
+    /** Returns the expected stalls per second that an eviction causes, plus a penalty for a model in use. */
     private readEvictCost(model: string, inUse: number, now: number): number {
         const copies = this.demand.find(model)?.engines.size ?? 1;
         const waiting = this.demand.find(model)?.payingCount ?? 0;
@@ -449,8 +449,8 @@
     }
 
     /**
-     * Whether the load justifies the eviction. A load for trial requests evicts a model that paying customers have requested
-     * only while trial adapters hold less than their share of the slots.
+     * Whether the load justifies the eviction. A load for trial requests evicts a model that paying customers have
+     * requested only while trial adapters hold less than their share of the slots.
      */
     private isWorthEvicting(loadRequest: LoadRequest, candidate: string): boolean {
         if (!loadRequest.isTrial) {
@@ -474,7 +474,7 @@
 /** Cost of evicting a model in use, in requests per second; high enough that any idle model is evicted first. */
 const inUseCostPerSecond = 1e6;
 
-/** Maximum request rate of a model that the packing cost may outweigh in the choice of an eviction, in requests per second. */
+/** Maximum request rate that the packing cost may outweigh in the choice of an eviction, in requests per second. */
 const maxPackingBias = 0.06;
 
 interface LoadRequest {
--- a/packages/placement/src/popularity.ts
+++ b/packages/placement/src/popularity.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Exponentially decayed counts of arrivals. Each count is stored as the logarithm of its value extrapolated to time zero.
- * This score does not change over time, so only an arrival changes the order of the models.
+ * Exponentially decayed counts of arrivals. Each count is stored as the logarithm of its value extrapolated to time
+ * zero. This score does not change over time, so only an arrival changes the order of the models.
  */
 export class Popularity {
     private readonly scores = new Map<string, number>();
--- a/packages/placement/src/rank.ts
+++ b/packages/placement/src/rank.ts
@@ -22,18 +22,18 @@
     private readonly groups = new Map<number, TinyQueue<RankEntry>>();
     private revision = 0;
 
-    /** Sets the number of requests that wait for a model and the sum of their arrival times. A count of 0 removes it. */
+    /** Sets the number of waiting requests of a model and the sum of their arrival times. A count of 0 removes it. */
     setWaiting(model: string, count: number, startSum: number): void {
         if (count === 0) {
             this.waiting.delete(model);
             return;
         }
-        const stamp = ++this.revision;
-        this.waiting.set(model, { count, startSum, revision: stamp });
+        const revision = ++this.revision;
+        this.waiting.set(model, { count, startSum, revision });
         const group = this.groups.get(count)
             ?? new TinyQueue<RankEntry>([], compareEntries);
         this.groups.set(count, group);
-        group.push({ model, startSum, revision: stamp });
+        group.push({ model, startSum, revision });
         if (group.length > minGroupEntries + maxGroupEntriesPerModel * this.waiting.size) {
             const current = group.data.filter(entry => this.isCurrent(entry));
             this.groups.set(count, new TinyQueue(current, compareEntries));
--- a/packages/placement/src/share.ts
+++ b/packages/placement/src/share.ts
@@ -51,8 +51,8 @@
         const { dataCentre, loadsPerSecond, weights } = this.options;
         const own = weights[dataCentre] ?? 1;
         let total = own;
-        for (const [other, { isWanting, receivedAt: heardAt }] of this.others) {
-            if (isWanting || now - heardAt > this.silenceMs) {
+        for (const [other, { isWanting, receivedAt }] of this.others) {
+            if (isWanting || now - receivedAt > this.silenceMs) {
                 total += weights[other] ?? 1;
             }
         }
