--- a/packages/experiment/src/baseline.ts
+++ b/packages/experiment/src/baseline.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Baselines of the data path: a bare polka and undici pass-through, and a raw TCP pipe. Arguments: mode, upstream. */
+/** Baselines of the data path: a polka and undici pass-through, or a TCP pipe. Arguments: mode, upstream address. */
 import { createServer as createHttpServer } from "node:http";
 import { type AddressInfo, connect, createServer as createTcpServer, type Server } from "node:net";
 import polka from "polka";
@@ -9,11 +9,11 @@
 
 function startPipe(): Server {
     const [host = "", port = ""] = upstream.split(":");
-    return createTcpServer(inner => {
-        const outer = connect(Number(port), host);
-        inner.pipe(outer).pipe(inner);
-        inner.on("error", () => outer.destroy());
-        outer.on("error", () => inner.destroy());
+    return createTcpServer(callerSocket => {
+        const upstreamSocket = connect(Number(port), host);
+        callerSocket.pipe(upstreamSocket).pipe(callerSocket);
+        callerSocket.on("error", () => upstreamSocket.destroy());
+        upstreamSocket.on("error", () => callerSocket.destroy());
     }).listen(0, "127.0.0.1");
 }
 
@@ -27,8 +27,8 @@
             const headers = { "content-type": "application/json" };
             void pool.stream(
                 { method: "POST", path: request.url, body: Buffer.concat(chunks), headers },
-                ({ statusCode, headers: answered }) => {
-                    response.writeHead(statusCode, { "content-type": String(answered["content-type"]) });
+                ({ statusCode, headers: responseHeaders }) => {
+                    response.writeHead(statusCode, { "content-type": String(responseHeaders["content-type"]) });
                     return response;
                 },
             );
--- a/packages/experiment/src/bench.ts
+++ b/packages/experiment/src/bench.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Measures what radishreel costs: the data path beside baselines, decisions and, on request, an agent at rest. */
+/** Benchmarks the decision logic, the data path against baselines and, on request, an idle agent. */
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import { runControl } from "./control.js";
@@ -12,7 +12,7 @@
         type: "string",
         choices: ["none", "all", "gateways", "engines", "agents", "adapters"],
         default: "none",
-        describe: "Measure an agent's cost at rest over four sizes of each, or of one; a minute a series",
+        describe: "Measure an idle agent's cost over four sizes of this quantity, or of all; takes a minute per series",
     })
     .strict()
     .parseAsync();
@@ -27,20 +27,20 @@
         print(
             `decisions: ${engines} engines, ${adapters} adapters: dispatch ${
                 dispatchMicros.toFixed(1)
-            } us a request, placer ${placerMicros.toFixed(1)} us an event`,
+            } us per request, placer ${placerMicros.toFixed(1)} us per event`,
         );
     }
 }
 
 const paths = await runDataPath();
-const bare = paths.find(path => path.name === "passthrough")!;
+const passThrough = paths.find(path => path.name === "passthrough")!;
 for (const path of paths) {
-    const ratio = path.cpuMicrosPerChunk / bare.cpuMicrosPerChunk;
+    const ratio = path.cpuMicrosPerChunk / passThrough.cpuMicrosPerChunk;
     print(
-        `data path: ${path.name.padEnd(12)} ${path.cpuMicrosPerChunk.toFixed(1)} us of CPU a chunk (${
+        `data path: ${path.name.padEnd(12)} ${path.cpuMicrosPerChunk.toFixed(1)} us of CPU per chunk (${
             ratio.toFixed(2)
         } of the pass-through), `
-            + `${path.cpuMicrosPerRequest.toFixed(0)} us a request, whole p50 ${path.wholeP50Ms.toFixed(1)} p99 ${
+            + `${path.cpuMicrosPerRequest.toFixed(0)} us per request, whole p50 ${path.wholeP50Ms.toFixed(1)} p99 ${
                 path.wholeP99Ms.toFixed(1)
             } ms, ${path.memoryMegabytes.toFixed(0)} MB`,
     );
--- a/packages/experiment/src/control.ts
+++ b/packages/experiment/src/control.ts
@@ -4,11 +4,11 @@
 
 const dataCentre = "bench";
 
-/** Time for a deployment to come to rest, and time over which it is measured, in milliseconds. */
-const restMs = 3000;
+/** Time for a deployment to become idle, and the duration of the measurement, in milliseconds. */
+const settlingMs = 3000;
 const measureMs = 8000;
 
-/** Size of a deployment whose agent is measured. */
+/** Size of the deployment whose agent is measured. */
 export interface ControlSize {
     readonly agents: number;
     readonly gateways: number;
@@ -16,17 +16,17 @@
     readonly adapters: number;
 }
 
-/** What one agent costs at rest. */
+/** Resource usage of one idle agent. */
 export interface ControlCost {
     readonly size: ControlSize;
     readonly cpuPercent: number;
     readonly memoryMegabytes: number;
     readonly bytesPerSecond: number;
-    /** From the start of the command to the version in force everywhere. */
+    /** Duration of the apply command, until the version is in force everywhere, in milliseconds. */
     readonly applyMs: number;
 }
 
-/** Offerings with a number of adapters and one customer who may use all. */
+/** Creates offerings with the given number of adapters and one customer that may use all of them. */
 export function createBenchOfferings(adapters: number): object {
     return {
         customers: { bench: { class: "paying", keyDigests: [createKeyDigest("paying-key")], adapters: ["*"] } },
@@ -45,7 +45,7 @@
     return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Starts a deployment of a size and measures its first agent at rest. */
+/** Starts a deployment of the given size and measures its first agent while idle. */
 export async function measureControl(size: ControlSize): Promise<ControlCost> {
     const deployment = await Deployment.create();
     try {
@@ -72,7 +72,7 @@
             );
             return statuses.every(({ status }) => status === 200);
         });
-        await sleep(restMs);
+        await sleep(settlingMs);
         const before = await readUsage(agent!.process.pid);
         const bytesBefore = await readPeerBytes(agent!.metrics);
         await sleep(measureMs);
@@ -91,7 +91,7 @@
     }
 }
 
-/** What is varied, and over which sizes. */
+/** Quantity that each series varies, with its values. */
 const series: readonly { name: keyof ControlSize; values: readonly number[]; }[] = [
     { name: "gateways", values: [1, 4, 8, 16] },
     { name: "engines", values: [2, 8, 16, 32] },
@@ -99,7 +99,7 @@
     { name: "adapters", values: [1000, 20_000, 60_000, 130_000] },
 ];
 
-/** One measured series with the slopes of its costs. */
+/** A measured series, with a linear fit of each cost. */
 export interface ControlSeries {
     readonly name: keyof ControlSize;
     readonly costs: readonly ControlCost[];
@@ -109,12 +109,15 @@
 }
 
 /**
- * Measures one series, or `all`. Each takes about a minute.
- * @param onCost Called with each measurement as it is made.
+ * Measures the named series, or `all`. Each series takes about a minute.
+ * @param onCost Called with each measurement when it is complete.
  */
-export async function runControl(wanted: string, onCost: (cost: ControlCost) => void): Promise<ControlSeries[]> {
+export async function runControl(
+    selectedSeries: string,
+    onCost: (cost: ControlCost) => void,
+): Promise<ControlSeries[]> {
     const results: ControlSeries[] = [];
-    for (const { name, values } of series.filter(each => wanted === "all" || each.name === wanted)) {
+    for (const { name, values } of series.filter(each => selectedSeries === "all" || each.name === selectedSeries)) {
         const costs: ControlCost[] = [];
         for (const value of values) {
             const cost = await measureControl({ agents: 1, gateways: 1, engines: 2, adapters: 100, [name]: value });
--- a/packages/experiment/src/datapath.ts
+++ b/packages/experiment/src/datapath.ts
@@ -3,7 +3,7 @@
 import { createBenchOfferings } from "./control.js";
 import { readUsage } from "./usage.js";
 
-/** Streams at the same time, tokens of each, and rounds of them. */
+/** Number of concurrent streams, tokens per stream, and number of measured rounds. */
 const concurrency = 50;
 const tokens = 200;
 const rounds = 4;
@@ -11,7 +11,7 @@
 const dataCentre = "bench";
 const model = "adapter-0@1";
 
-/** One way of passing streams through. */
+/** Measurements of one way to pass streams through. */
 export interface DataPathResult {
     readonly name: string;
     readonly cpuMicrosPerChunk: number;
@@ -22,7 +22,7 @@
 }
 
 async function measurePath(name: string, address: string, pid: number): Promise<DataPathResult> {
-    // The first round warms connections and compiled code up.
+    // The first round warms up connections and compiled code.
     await runRound(address, 1);
     const before = await readUsage(pid);
     const times: number[] = [];
@@ -53,13 +53,15 @@
         const start = performance.now();
         const result = await sendCompletion(address, model, { tokens: count });
         if (!result.hasEndMark) {
-            throw new Error(`a stream broke: ${result.status} ${result.body.slice(0, 200)}`);
+            throw new Error(
+                `stream ended without an end mark: status ${result.status}, body ${result.body.slice(0, 200)}`,
+            );
         }
         return performance.now() - start;
     }));
 }
 
-/** Measures the gateway beside a bare pass-through and a raw pipe, all before the same engine. */
+/** Measures the gateway, a plain pass-through and a TCP pipe, all in front of the same engine. */
 export async function runDataPath(): Promise<DataPathResult[]> {
     const deployment = await Deployment.create();
     const baselines: ManagedProcess[] = [];
@@ -71,7 +73,7 @@
         await deployment.apply(agent, await deployment.writeFile("offerings.json", createBenchOfferings(1)));
         const gateway = await deployment.startGateway("gateway", dataCentre);
         await waitFor(
-            "the model",
+            "the model to be served",
             async () => (await sendCompletion(gateway.callers, model, { tokens: 1 })).status === 200,
         );
         const upstream = deployment.addresses.engines.engine!;
--- a/packages/experiment/src/decisions.ts
+++ b/packages/experiment/src/decisions.ts
@@ -2,7 +2,7 @@
 import { Placer } from "@radishreel/placement";
 import { RandomSource, ZipfSource } from "./random.js";
 
-/** Time of one decision at a size, in microseconds. */
+/** Mean decision time per dispatched request and per placer event, in microseconds, at a given size. */
 export interface DecisionResult {
     readonly engines: number;
     readonly adapters: number;
@@ -13,7 +13,7 @@
 const slots = 8;
 const events = 20_000;
 
-/** Times the pure decisions alone: requests that arrive and end, and the demand that a placer hears. */
+/** Measures the decision logic alone: requests that arrive and finish, and demand reports to a placer. */
 export function measureDecisions(engines: number, adapters: number): DecisionResult {
     const random = new RandomSource(1);
     const source = new ZipfSource(adapters, 1);
@@ -55,7 +55,7 @@
     return (performance.now() - start) * 1000 / count;
 }
 
-/** One request's arrival and, where it was dispatched, its end. */
+/** Runs one request: its arrival and, if it was dispatched, its completion. */
 function runRequest(dispatcher: Dispatcher, model: string, index: number): void {
     const id = String(index);
     const request = {
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
-/** Runs every scenario with every policy, and prints one line for each. */
+/** Runs every scenario with every policy and prints one line per run. */
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { createNaiveA, createNaiveB } from "./naive.js";
-import { OurPolicy } from "./ours.js";
+import { createHashingPolicy, createRoundRobinPolicy } from "./naive.js";
+import { RadishreelPolicy } from "./ours.js";
 import { createReport, formatReport } from "./report.js";
 import { listScenarios } from "./scenarios.js";
 import { type Policy, Simulation } from "./world.js";
@@ -11,16 +11,16 @@
 const { seed, only, json } = await yargs(hideBin(process.argv))
     .scriptName("experiment")
     .option("seed", { type: "number", default: 1, describe: "Seed of the traces" })
-    .option("only", { type: "string", default: "", describe: "Run only scenarios whose names contain this" })
-    .option("json", { type: "boolean", default: false, describe: "Print one JSON object a run" })
+    .option("only", { type: "string", default: "", describe: "Run only scenarios whose names contain this text" })
+    .option("json", { type: "boolean", default: false, describe: "Print one JSON object per run" })
     .strict()
     .parseAsync();
 
 const policies: (() => Policy)[] = [
-    createNaiveA,
-    createNaiveB,
-    () => new OurPolicy({ stallWeight: 0.9 }),
-    () => new OurPolicy({ stallWeight: 0.2 }),
+    createRoundRobinPolicy,
+    createHashingPolicy,
+    () => new RadishreelPolicy({ stallWeight: 0.9 }),
+    () => new RadishreelPolicy({ stallWeight: 0.2 }),
 ];
 
 for (const scenario of listScenarios(seed)) {
--- a/packages/experiment/src/naive.ts
+++ b/packages/experiment/src/naive.ts
@@ -2,16 +2,16 @@
 import type { TraceRequest } from "./trace.js";
 import type { Policy, World } from "./world.js";
 
-/** What differs between the two naive versions. */
+/** Options in which the two naive policies differ. */
 interface NaiveOptions {
     readonly name: string;
     readonly chooseEngine: (request: TraceRequest, count: number, engines: number) => number;
-    /** Paying requests go first, at dispatch and at loads. */
+    /** Whether paying requests have priority, for dispatch and for loads. */
     readonly hasPriority: boolean;
 }
 
 /**
- * Requests are bound to an engine when they come; each engine evicts what was used longest ago; one load runs at a
+ * Assigns each request to an engine on arrival. Each engine evicts its least recently used model. One load runs at a
  * time, in the order of the queue.
  */
 class NaivePolicy implements Policy {
@@ -104,11 +104,11 @@
         }
         const idle = models.filter(model => world.countRunning(engine, model) === 0);
         idle.sort((left, right) => this.readUsedAt(engine, left) - this.readUsedAt(engine, right));
-        const [victim] = idle;
-        if (victim === undefined) {
+        const [candidate] = idle;
+        if (candidate === undefined) {
             return false;
         }
-        world.evict(engine, victim);
+        world.evict(engine, candidate);
         return true;
     }
 
@@ -121,8 +121,8 @@
     return request.customerClass === "paying" ? 0 : 1;
 }
 
-/** Round robin over the engines, one queue in the order of arrival. */
-export function createNaiveA(): Policy {
+/** Creates a policy with round robin over the engines and one queue in the order of arrival. */
+export function createRoundRobinPolicy(): Policy {
     return new NaivePolicy({
         name: "naive A",
         chooseEngine: (_request, count, engines) => count % engines,
@@ -130,8 +130,8 @@
     });
 }
 
-/** Each adapter has one engine by hashing; paying requests go first. */
-export function createNaiveB(): Policy {
+/** Creates a policy that assigns each adapter to one engine by hashing and gives paying requests priority. */
+export function createHashingPolicy(): Policy {
     return new NaivePolicy({
         name: "naive B",
         chooseEngine: (request, _count, engines) =>
--- a/packages/experiment/src/ours.ts
+++ b/packages/experiment/src/ours.ts
@@ -3,34 +3,34 @@
 import type { TraceRequest } from "./trace.js";
 import type { Policy, World } from "./world.js";
 
-/** Time for a message between two processes of a data centre, in milliseconds. */
-const transitMs = 1;
+/** Delay of a message between two processes of a data centre, in milliseconds. */
+const messageDelayMs = 1;
 
-/** Options of {@link OurPolicy}. */
-export interface OurOptions {
+/** Options of {@link RadishreelPolicy}. */
+export interface RadishreelPolicyOptions {
     readonly stallWeight: number;
     readonly trialBatchShare?: number;
     /** Gateways that share the requests. @default 3 */
     readonly gateways?: number;
-    /** Least time between two words of a gateway, in milliseconds. @default 10 */
-    readonly lagMs?: number;
+    /** Minimum time between two reports of a gateway, in milliseconds. @default 10 */
+    readonly exchangeIntervalMs?: number;
 }
 
-/** The dispatchers of several gateways and one placer, as the programs run them. */
-export class OurPolicy implements Policy {
+/** Policy with the dispatchers of several gateways and one placer, connected as in the gateway and agent programs. */
+export class RadishreelPolicy implements Policy {
     readonly name: string;
     private readonly gateways: Dispatcher[];
     private readonly placer: Placer;
-    private readonly gatewayOf = new Map<string, number>();
-    private readonly lagMs: number;
+    private readonly gatewayByRequest = new Map<string, number>();
+    private readonly exchangeIntervalMs: number;
     private arrivals = 0;
-    private isToldScheduled = false;
-    private toldAt = -Infinity;
+    private isExchangeScheduled = false;
+    private exchangedAt = -Infinity;
     private models: string[][] = [];
 
-    constructor(options: OurOptions) {
+    constructor(options: RadishreelPolicyOptions) {
         this.name = `ours (${options.stallWeight})`;
-        this.lagMs = options.lagMs ?? 10;
+        this.exchangeIntervalMs = options.exchangeIntervalMs ?? 10;
         const { stallWeight, trialBatchShare } = options;
         this.gateways = Array.from(
             { length: options.gateways ?? 3 },
@@ -40,22 +40,22 @@
     }
 
     receiveArrival(request: TraceRequest, world: World): void {
-        this.prepare(world);
+        this.sendInitialEngines(world);
         const gateway = this.arrivals++ % this.gateways.length;
-        this.gatewayOf.set(request.id, gateway);
+        this.gatewayByRequest.set(request.id, gateway);
         this.decide(gateway, { type: "arrive", request: { ...request, weight: 1 } }, world);
-        this.schedule(world);
+        this.scheduleExchange(world);
     }
 
     receiveEnd(request: TraceRequest, engine: number, world: World): void {
-        const gateway = this.gatewayOf.get(request.id)!;
-        this.gatewayOf.delete(request.id);
+        const gateway = this.gatewayByRequest.get(request.id)!;
+        this.gatewayByRequest.delete(request.id);
         this.decide(
             gateway,
             { type: "ended", requestId: request.id, engineId: String(engine), outcome: "complete" },
             world,
         );
-        this.schedule(world);
+        this.scheduleExchange(world);
     }
 
     receiveLoadEnd(engine: number, model: string, isLoaded: boolean, world: World): void {
@@ -72,17 +72,17 @@
 
     receiveRestart(engine: number, lost: readonly string[], world: World): void {
         for (const requestId of lost) {
-            const gateway = this.gatewayOf.get(requestId)!;
+            const gateway = this.gatewayByRequest.get(requestId)!;
             this.decide(gateway, { type: "ended", requestId, engineId: String(engine), outcome: "cancelled" }, world);
         }
         this.runPlacer({ type: "engineGone", engineId: String(engine) }, world);
         this.sendEngine(engine, world);
     }
 
-    /** What gateways, owners and the placer tell each other travels together, a little late. */
+    /** Exchanges the reports of gateways, owners and the placer, all together and with a short delay. */
     receiveWake(world: World): void {
-        this.isToldScheduled = false;
-        this.toldAt = world.now;
+        this.isExchangeScheduled = false;
+        this.exchangedAt = world.now;
         for (let engine = 0; engine < world.options.engines; engine++) {
             this.sendEngine(engine, world);
         }
@@ -95,7 +95,7 @@
         });
     }
 
-    private prepare(world: World): void {
+    private sendInitialEngines(world: World): void {
         if (this.models.length > 0) {
             return;
         }
@@ -103,10 +103,10 @@
         this.models.forEach((_models, engine) => this.sendEngine(engine, world));
     }
 
-    private schedule(world: World): void {
-        if (!this.isToldScheduled) {
-            this.isToldScheduled = true;
-            world.scheduleWake(Math.max(world.now + transitMs, this.toldAt + this.lagMs));
+    private scheduleExchange(world: World): void {
+        if (!this.isExchangeScheduled) {
+            this.isExchangeScheduled = true;
+            world.scheduleWake(Math.max(world.now + messageDelayMs, this.exchangedAt + this.exchangeIntervalMs));
         }
     }
 
@@ -117,7 +117,7 @@
         const loaded = models.filter(model => world.isLoaded(engine, model));
         const running = world.countRunning(engine);
         this.gateways.forEach((_dispatcher, gateway) => {
-            const own = this.countOwn(gateway, engine);
+            const own = this.countRunningOf(gateway, engine);
             const lease = {
                 id,
                 instance: "1",
@@ -146,15 +146,18 @@
         }, world);
     }
 
-    private readonly own = new Map<string, number>();
+    private readonly runningCounts = new Map<string, number>();
 
-    private countOwn(gateway: number, engine: number): number {
-        return this.own.get(`${gateway} ${engine}`) ?? 0;
+    private countRunningOf(gateway: number, engine: number): number {
+        return this.runningCounts.get(`${gateway} ${engine}`) ?? 0;
     }
 
     private decide(gateway: number, event: DispatchEvent, world: World): void {
         if (event.type === "ended") {
-            this.own.set(`${gateway} ${event.engineId}`, this.countOwn(gateway, Number(event.engineId)) - 1);
+            this.runningCounts.set(
+                `${gateway} ${event.engineId}`,
+                this.countRunningOf(gateway, Number(event.engineId)) - 1,
+            );
         }
         const commands = this.gateways[gateway]!.decide(event, world.now);
         commands.forEach(command => this.carryOut(gateway, command, world));
@@ -165,9 +168,9 @@
             case "dispatch": {
                 const engine = Number(command.engineId);
                 if (!world.isLoaded(engine, command.request.model)) {
-                    // The grant was older than the eviction: the engine refuses, and the gateway tries elsewhere.
+                    // The grant predates the eviction: the engine refuses the request, and the gateway retries it.
                     const requestId = command.request.id;
-                    this.own.set(`${gateway} ${engine}`, this.countOwn(gateway, engine) + 1);
+                    this.runningCounts.set(`${gateway} ${engine}`, this.countRunningOf(gateway, engine) + 1);
                     this.decide(gateway, {
                         type: "ended",
                         requestId,
@@ -177,12 +180,12 @@
                     }, world);
                     return;
                 }
-                this.own.set(`${gateway} ${engine}`, this.countOwn(gateway, engine) + 1);
+                this.runningCounts.set(`${gateway} ${engine}`, this.countRunningOf(gateway, engine) + 1);
                 world.dispatch(command.request.id, engine);
                 return;
             }
             case "refuse":
-                this.gatewayOf.delete(command.request.id);
+                this.gatewayByRequest.delete(command.request.id);
                 world.refuse(command.request.id, command.verdict.reason);
                 return;
             case "retry":
--- a/packages/experiment/src/random.ts
+++ b/packages/experiment/src/random.ts
@@ -1,6 +1,6 @@
 import prand from "pure-rand";
 
-/** A seeded source of random numbers. */
+/** Seeded generator of random numbers. */
 export class RandomSource {
     private readonly generator: prand.RandomGenerator;
 
@@ -8,17 +8,17 @@
         this.generator = prand.xoroshiro128plus(seed);
     }
 
-    /** Uniform in [0, 1). */
+    /** Returns a uniformly distributed number in [0, 1). */
     readUnit(): number {
         return prand.unsafeUniformIntDistribution(0, 0x3fff_ffff, this.generator) / 0x4000_0000;
     }
 
-    /** Exponential with the given mean. */
+    /** Returns an exponentially distributed number with the given mean. */
     readExponential(mean: number): number {
         return -mean * Math.log(1 - this.readUnit());
     }
 
-    /** Whole number in [0, count). */
+    /** Returns a uniformly distributed integer in [0, count). */
     readIndex(count: number): number {
         return Math.floor(this.readUnit() * count);
     }
--- a/packages/experiment/src/report.ts
+++ b/packages/experiment/src/report.ts
@@ -1,7 +1,7 @@
 import type { CustomerClass } from "@radishreel/dispatch";
 import type { RequestResult, RunResult } from "./world.js";
 
-/** Figures of one class in one run. Times in milliseconds. */
+/** Measurements of one customer class in one run. Times are in milliseconds. */
 export interface ClassReport {
     readonly requests: number;
     readonly refused: number;
@@ -13,7 +13,7 @@
     readonly p99FirstToken: number;
 }
 
-/** Figures of one run. */
+/** Measurements of one run. */
 export interface Report {
     readonly policy: string;
     readonly paying: ClassReport;
@@ -28,13 +28,13 @@
 }
 
 function createClassReport(results: readonly RequestResult[], customerClass: CustomerClass): ClassReport {
-    const own = results.filter(result => result.request.customerClass === customerClass);
-    const served = own.filter(result => result.refusedFor === undefined);
+    const classResults = results.filter(result => result.request.customerClass === customerClass);
+    const served = classResults.filter(result => result.refusedFor === undefined);
     const stalls = served.map(result => result.stallMs).sort((left, right) => left - right);
     const firstTokens = served.map(result => result.firstTokenMs).sort((left, right) => left - right);
     return {
-        requests: own.length,
-        refused: own.length - served.length,
+        requests: classResults.length,
+        refused: classResults.length - served.length,
         meanStall: stalls.reduce((total, stall) => total + stall, 0) / Math.max(1, stalls.length),
         p50Stall: readPercentile(stalls, 0.5),
         p95Stall: readPercentile(stalls, 0.95),
@@ -44,7 +44,7 @@
     };
 }
 
-/** Sums a run up. */
+/** Summarises a run. */
 export function createReport(policy: string, run: RunResult): Report {
     return {
         policy,
@@ -56,7 +56,7 @@
     };
 }
 
-/** One line of a table, for people. */
+/** Formats a report as one line of a human-readable table. */
 export function formatReport(scenario: string, report: Report): string {
     const { paying, trial } = report;
     const columns = [
--- a/packages/experiment/src/scenarios.ts
+++ b/packages/experiment/src/scenarios.ts
@@ -1,22 +1,22 @@
 import { createTrace, type TraceFault, type TraceOptions, type TraceRequest } from "./trace.js";
 import type { WorldOptions } from "./world.js";
 
-/** One trace on one set of engines. */
+/** A trace with the simulated engines on which it runs. */
 export interface Scenario {
     readonly name: string;
     readonly world: WorldOptions;
     readonly trace: TraceRequest[];
     readonly faults: readonly TraceFault[];
-    /** Paying requests a second at the level 1. */
+    /** Paying requests per second at level 1. */
     readonly rate: number;
 }
 
-const minute = 60_000;
-const warmUpMs = 3 * minute;
-const durationMs = 13 * minute;
+const minuteMs = 60_000;
+const warmUpMs = 3 * minuteMs;
+const durationMs = 13 * minuteMs;
 
-/** Altan Zam's declaration engines: six, one store that bears two loads a second. */
-const altanWorld: WorldOptions = {
+/** Six engines with shorter responses and a weight store that sustains two loads per second. */
+const dawnWorld: WorldOptions = {
     engines: 6,
     slots: 8,
     batchRoom: 16,
@@ -26,10 +26,10 @@
     warmUpMs,
 };
 
-/** Armor's drafting engines: eight, with longer answers, and a store of three loads a second. */
-const armorWorld: WorldOptions = { ...altanWorld, engines: 8, loadMs: 333 };
+/** Eight engines with longer responses and a weight store that sustains three loads per second. */
+const draftingWorld: WorldOptions = { ...dawnWorld, engines: 8, loadMs: 333 };
 
-const altanTrace: TraceOptions = {
+const dawnTrace: TraceOptions = {
     seed: 1,
     durationMs,
     adapters: 3000,
@@ -41,7 +41,13 @@
     meanTokens: 100,
 };
 
-const armorTrace: TraceOptions = { ...altanTrace, payingRate: 6, trialRate: 0.6, deadlineMs: 60_000, meanTokens: 400 };
+const draftingTrace: TraceOptions = {
+    ...dawnTrace,
+    payingRate: 6,
+    trialRate: 0.6,
+    deadlineMs: 60_000,
+    meanTokens: 400,
+};
 
 function createScenario(
     name: string,
@@ -52,37 +58,37 @@
     return { name, world, trace: createTrace(options), faults, rate: options.payingRate };
 }
 
-/** Every scenario, drawn from one seed. Rates are chosen around the rate at which the store is just busy. */
+/** Creates every scenario from one seed. The request rates lie around the rate that just saturates the weight store. */
 export function listScenarios(seed: number): Scenario[] {
-    const altan = { ...altanTrace, seed };
-    const armor = { ...armorTrace, seed };
-    const shiftAt = 8 * minute;
+    const dawn = { ...dawnTrace, seed };
+    const drafting = { ...draftingTrace, seed };
+    const shiftAt = 8 * minuteMs;
     return [
         ...[0.25, 0.5, 0.9, 1.5, 2].map(level =>
-            createScenario(`dawn x${level}`, altanWorld, { ...altan, payingRate: 4 * level, trialRate: 0.4 * level })
+            createScenario(`dawn x${level}`, dawnWorld, { ...dawn, payingRate: 4 * level, trialRate: 0.4 * level })
         ),
         ...[0.25, 0.5, 0.9, 1.5].map(level =>
-            createScenario(`drafting x${level}`, armorWorld, {
-                ...armor,
+            createScenario(`drafting x${level}`, draftingWorld, {
+                ...drafting,
                 payingRate: 6 * level,
                 trialRate: 0.6 * level,
             })
         ),
-        ...[0.8, 1.2].map(zipf => createScenario(`dawn zipf ${zipf}`, altanWorld, { ...altan, payingRate: 2, zipf })),
-        createScenario("dawn, shift", altanWorld, { ...altan, payingRate: 2, shiftsAt: [shiftAt] }),
-        createScenario("dawn, no flood", altanWorld, { ...altan, payingRate: 2, trialRate: 0 }),
-        createScenario("dawn, trial flood", altanWorld, { ...altan, payingRate: 2, trialRate: 20 }),
+        ...[0.8, 1.2].map(zipf => createScenario(`dawn zipf ${zipf}`, dawnWorld, { ...dawn, payingRate: 2, zipf })),
+        createScenario("dawn, shift", dawnWorld, { ...dawn, payingRate: 2, shiftsAt: [shiftAt] }),
+        createScenario("dawn, no flood", dawnWorld, { ...dawn, payingRate: 2, trialRate: 0 }),
+        createScenario("dawn, trial flood", dawnWorld, { ...dawn, payingRate: 2, trialRate: 20 }),
         createScenario(
             "dawn, restarts",
-            altanWorld,
-            { ...altan, payingRate: 2 },
+            dawnWorld,
+            { ...dawn, payingRate: 2 },
             [1, 3, 5].map(engine => ({
-                at: (5 + engine) * minute,
+                at: (5 + engine) * minuteMs,
                 kind: "restartEngine",
                 engine,
             })),
         ),
-        createScenario("dawn, failed loads", { ...altanWorld, failureShare: 0.1 }, { ...altan, payingRate: 2 }),
-        createScenario("dawn, slow store", { ...altanWorld, loadMs: 1000 }, { ...altan, payingRate: 2 }),
+        createScenario("dawn, failed loads", { ...dawnWorld, failureShare: 0.1 }, { ...dawn, payingRate: 2 }),
+        createScenario("dawn, slow store", { ...dawnWorld, loadMs: 1000 }, { ...dawn, payingRate: 2 }),
     ];
 }
--- a/packages/experiment/src/trace.ts
+++ b/packages/experiment/src/trace.ts
@@ -1,7 +1,7 @@
 import type { CustomerClass } from "@radishreel/dispatch";
 import { RandomSource, ZipfSource } from "./random.js";
 
-/** One request of a trace. Times are virtual, in milliseconds. */
+/** One request of a trace. Times are in milliseconds of virtual time. */
 export interface TraceRequest {
     readonly id: string;
     readonly model: string;
@@ -12,7 +12,7 @@
     readonly tokens: number;
 }
 
-/** Something that goes wrong in a trace. */
+/** A fault that is injected during a trace. */
 export interface TraceFault {
     readonly at: number;
     readonly kind: "restartEngine";
@@ -25,21 +25,21 @@
     readonly durationMs: number;
     readonly adapters: number;
     readonly zipf: number;
-    /** Paying requests a second, over the whole trace. */
+    /** Paying requests per second at level 1. */
     readonly payingRate: number;
     readonly trialRate: number;
     readonly customers: number;
     readonly deadlineMs: number;
     readonly meanTokens: number;
-    /** Moments at which popularity is drawn anew. */
+    /** Times at which the popularity of the adapters is reassigned. */
     readonly shiftsAt?: readonly number[];
-    /** Factor on both rates at a time. @default 1 throughout */
+    /** Returns the factor on both rates at a time. @default always 1 */
     readonly readLevel?: (at: number) => number;
-    /** Factor on the trial rate at a time. @default 1 throughout */
+    /** Returns the additional factor on the trial rate at a time. @default always 1 */
     readonly readTrialLevel?: (at: number) => number;
 }
 
-/** Draws a trace. Equal options give equal traces. */
+/** Creates a random trace. Equal options produce equal traces. */
 export function createTrace(options: TraceOptions): TraceRequest[] {
     const { seed, durationMs, payingRate, trialRate } = options;
     const requests = [
@@ -68,7 +68,7 @@
         const epoch = shiftsAt.filter(shift => shift <= at).length;
         requests.push({
             id: `${customerClass}-${requests.length}`,
-            // Another epoch gives each rank another adapter.
+            // Each epoch maps the ranks to the adapters differently.
             model: `adapter-${(rank * (2 * epoch + 1) * 7919 + epoch * 1301) % adapters}@1`,
             customer: `${customerClass}-customer-${random.readIndex(customers)}`,
             customerClass,
--- a/packages/experiment/src/usage.ts
+++ b/packages/experiment/src/usage.ts
@@ -1,11 +1,11 @@
 import { readFile } from "node:fs/promises";
 
-/** Clock ticks a second of the kernel's accounting on Linux. */
+/** Clock ticks per second in the process accounting of the Linux kernel. */
 const ticksPerSecond = 100;
 
-/** What a process has used. */
+/** Resource usage of a process. */
 export interface Usage {
-    /** Processor time, in milliseconds, to the nearest 10. */
+    /** Processor time, in milliseconds, with a resolution of 10 ms. */
     readonly cpuMs: number;
     /** Resident memory, in bytes. */
     readonly memory: number;
@@ -20,14 +20,14 @@
     return { cpuMs: (utime! + stime!) * 1000 / ticksPerSecond, memory: pages! * 4096 };
 }
 
-/** Slope and intercept of a straight line by least squares, with the greatest distance from it. */
+/** Linear least-squares fit, with the maximum vertical distance of a point from the line. */
 export interface Fit {
     readonly slope: number;
     readonly intercept: number;
     readonly spread: number;
 }
 
-/** Fits a line to points. */
+/** Fits a line to the points. */
 export function createFit(points: readonly { x: number; y: number; }[]): Fit {
     const meanX = points.reduce((sum, { x }) => sum + x, 0) / points.length;
     const meanY = points.reduce((sum, { y }) => sum + y, 0) / points.length;
--- a/packages/experiment/src/world.ts
+++ b/packages/experiment/src/world.ts
@@ -1,41 +1,41 @@
 import TinyQueue from "tinyqueue";
 import type { TraceFault, TraceRequest } from "./trace.js";
 
-/** Shape of the engines and of the weight store. Times in milliseconds. */
+/** Parameters of the simulated engines and weight store. Times are in milliseconds. */
 export interface WorldOptions {
     readonly engines: number;
     readonly slots: number;
     readonly batchRoom: number;
-    /** One step of a batch of n takes `stepMs + n * stepPerRequestMs`. */
+    /** One step of a batch of n requests takes `stepMs + n * stepPerRequestMs`. */
     readonly stepMs: number;
     readonly stepPerRequestMs: number;
-    /** One load at full speed; loads at the same time share that speed. */
+    /** Duration of one load at full speed; concurrent loads share that speed. */
     readonly loadMs: number;
-    /** Share of loads that fail at their end. @default 0 */
+    /** Share of loads that fail, at their end. @default 0 */
     readonly failureShare?: number;
-    /** Time from a decision to evict until every gateway has let go. @default 5 */
+    /** Time from the decision to evict a model until every gateway has released it. @default 5 */
     readonly revokeMs?: number;
-    /** Time before which nothing is measured. */
+    /** Duration of the warm-up, during which nothing is measured. */
     readonly warmUpMs: number;
 }
 
-/** What a policy may do. Each call is checked: a policy that breaks an invariant ends the run. */
+/** Operations available to a policy. Every call is checked: a policy that violates an invariant aborts the run. */
 export interface World {
     readonly now: number;
     readonly options: WorldOptions;
     dispatch(requestId: string, engine: number): void;
     refuse(requestId: string, reason: string): void;
     load(engine: number, model: string): void;
-    /** The model is gone once nothing uses it any more; nothing new may use it from now on. */
+    /** Evicts a model: no further request may use it, and it is removed when no request uses it any more. */
     evict(engine: number, model: string): void;
     isLoaded(engine: number, model: string): boolean;
-    /** Models in the engine's slots, whatever their state. */
+    /** Lists the models in the engine's adapter slots, in any state. */
     listModels(engine: number): string[];
     countRunning(engine: number, model?: string): number;
     scheduleWake(at: number): void;
 }
 
-/** A way to place and dispatch. */
+/** Policy for placement and dispatch. */
 export interface Policy {
     readonly name: string;
     receiveArrival(request: TraceRequest, world: World): void;
@@ -46,7 +46,7 @@
     receiveWake(world: World): void;
 }
 
-/** How one request fared. */
+/** Result of one request. */
 export interface RequestResult {
     readonly request: TraceRequest;
     readonly refusedFor: string | undefined;
@@ -55,19 +55,19 @@
     readonly firstTokenMs: number;
 }
 
-/** Everything that a run measured after its warm-up. */
+/** Measurements of a run after its warm-up. */
 export interface RunResult {
     readonly results: RequestResult[];
     readonly loads: number;
-    /** Mean share of the batch room over all steps. */
+    /** Mean share of the batch room in use, over all steps. */
     readonly fullness: number;
     readonly steps: number;
-    /** Wall-clock time in the policy's decisions, in microseconds, by call. */
+    /** Mean wall-clock time of a policy decision, in microseconds. */
     readonly decisionMicros: number;
     readonly events: number;
 }
 
-interface Running {
+interface RunningRequest {
     readonly request: TraceRequest;
     tokensLeft: number;
     isStarted: boolean;
@@ -77,7 +77,7 @@
 
 interface EngineState {
     readonly slots: Map<string, SlotState>;
-    readonly running: Map<string, Running>;
+    readonly running: Map<string, RunningRequest>;
     isStepping: boolean;
     generation: number;
 }
@@ -96,15 +96,15 @@
     private readonly waiting = new Map<string, TraceRequest>();
     private readonly results: RequestResult[] = [];
     private readonly loads: { engine: number; model: string; remainingMs: number; generation: number; }[] = [];
-    private loadsAt = 0;
+    private loadsAdvancedAt = 0;
     private loadGeneration = 0;
-    private order = 0;
+    private nextOrder = 0;
     private loadCount = 0;
     private fullnessSum = 0;
     private steps = 0;
     private decisionMs = 0;
     private decisions = 0;
-    private failureSum = 0;
+    private accumulatedFailures = 0;
 
     constructor(readonly options: WorldOptions, private readonly policy: Policy) {
         this.engines = Array.from({ length: options.engines }, () => ({
@@ -115,7 +115,7 @@
         }));
     }
 
-    /** Runs to the end of the trace and of every request. */
+    /** Runs until the trace has ended and every request has finished. */
     run(trace: readonly TraceRequest[], faults: readonly TraceFault[] = []): RunResult {
         for (const request of trace) {
             this.schedule(request.arrivedAt, () => this.arrive(request));
@@ -128,8 +128,8 @@
             this.now = event.at;
             event.run();
         }
-        const open = this.waiting.size + this.engines.reduce((total, engine) => total + engine.running.size, 0);
-        check(open === 0, `${open} requests were lost`);
+        const unfinished = this.waiting.size + this.engines.reduce((total, engine) => total + engine.running.size, 0);
+        check(unfinished === 0, `${unfinished} requests were lost`);
         return {
             results: this.results,
             loads: this.loadCount,
@@ -140,7 +140,7 @@
         };
     }
 
-    // What policies may do.
+    // Operations of policies.
 
     dispatch(requestId: string, index: number): void {
         const request = this.waiting.get(requestId);
@@ -203,21 +203,21 @@
     }
 
     scheduleWake(at: number): void {
-        this.schedule(at, () => this.ask(() => this.policy.receiveWake(this)));
+        this.schedule(at, () => this.measureDecision(() => this.policy.receiveWake(this)));
     }
 
-    // What happens.
+    // Simulated events.
 
     private readonly started = new Map<string, { stallMs: number; queueMs: number; }>();
 
     private arrive(request: TraceRequest): void {
         this.waiting.set(request.id, request);
-        this.ask(() => this.policy.receiveArrival(request, this));
+        this.measureDecision(() => this.policy.receiveArrival(request, this));
     }
 
     private expire(request: TraceRequest): void {
         if (this.waiting.has(request.id)) {
-            this.ask(() => this.policy.receiveWake(this));
+            this.measureDecision(() => this.policy.receiveWake(this));
         }
         if (this.waiting.has(request.id)) {
             this.refuse(request.id, "deadlinePassed");
@@ -241,10 +241,10 @@
         for (const request of lost) {
             this.record({ request, refusedFor: "mayHaveRun", stallMs: 0, queueMs: 0, firstTokenMs: Infinity });
         }
-        this.ask(() => this.policy.receiveRestart(index, lost.map(request => request.id), this));
+        this.measureDecision(() => this.policy.receiveRestart(index, lost.map(request => request.id), this));
     }
 
-    /** Steps serve the batch by priority: paying requests first, then in the order of their dispatch. */
+    /** Starts the next step. Its batch holds paying requests first, and within a class those dispatched first. */
     private startStep(engine: EngineState): void {
         if (engine.isStepping || engine.running.size === 0) {
             return;
@@ -267,7 +267,7 @@
         });
     }
 
-    private finishStep(engine: EngineState, batch: readonly Running[]): void {
+    private finishStep(engine: EngineState, batch: readonly RunningRequest[]): void {
         engine.isStepping = false;
         const ended: TraceRequest[] = [];
         for (const entry of batch) {
@@ -285,7 +285,7 @@
         }
         const index = this.engines.indexOf(engine);
         for (const request of ended) {
-            this.ask(() => this.policy.receiveEnd(request, index, this));
+            this.measureDecision(() => this.policy.receiveEnd(request, index, this));
         }
         this.startStep(engine);
     }
@@ -300,13 +300,13 @@
             return;
         }
         engine.slots.delete(model);
-        this.ask(() => this.policy.receiveEvicted(index, model, this));
+        this.measureDecision(() => this.policy.receiveEvicted(index, model, this));
     }
 
     private advanceLoads(): void {
-        const each = this.loads.length === 0 ? 0 : (this.now - this.loadsAt) / this.loads.length;
-        this.loadsAt = this.now;
-        this.loads.forEach(load => load.remainingMs -= each);
+        const progressMs = this.loads.length === 0 ? 0 : (this.now - this.loadsAdvancedAt) / this.loads.length;
+        this.loadsAdvancedAt = this.now;
+        this.loads.forEach(load => load.remainingMs -= progressMs);
     }
 
     private scheduleLoads(): void {
@@ -325,9 +325,9 @@
         const done = this.loads.filter(load => load.remainingMs < 1e-6);
         for (const load of done) {
             this.loads.splice(this.loads.indexOf(load), 1);
-            this.failureSum += this.options.failureShare ?? 0;
-            const isLoaded = this.failureSum < 1;
-            this.failureSum -= isLoaded ? 0 : 1;
+            this.accumulatedFailures += this.options.failureShare ?? 0;
+            const isLoaded = this.accumulatedFailures < 1;
+            this.accumulatedFailures -= isLoaded ? 0 : 1;
             const { slots } = this.engines[load.engine]!;
             if (isLoaded) {
                 slots.set(load.model, { state: "loaded", loadedAt: this.now });
@@ -335,7 +335,7 @@
             else {
                 slots.delete(load.model);
             }
-            this.ask(() => this.policy.receiveLoadEnd(load.engine, load.model, isLoaded, this));
+            this.measureDecision(() => this.policy.receiveLoadEnd(load.engine, load.model, isLoaded, this));
         }
         this.scheduleLoads();
     }
@@ -346,7 +346,7 @@
         }
     }
 
-    private ask(decide: () => void): void {
+    private measureDecision(decide: () => void): void {
         const start = performance.now();
         decide();
         this.decisionMs += performance.now() - start;
@@ -354,12 +354,12 @@
     }
 
     private schedule(at: number, run: () => void): void {
-        this.events.push({ at, order: this.order++, run });
+        this.events.push({ at, order: this.nextOrder++, run });
     }
 }
 
 function check(holds: boolean, message: string): asserts holds {
     if (!holds) {
-        throw new Error(`invariant broken: ${message}`);
+        throw new Error(`invariant violated: ${message}`);
     }
 }
