--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -309,8 +309,8 @@
      * latest time at which a load could start and still finish before the deadline.
      */
     private readCheckAt(request: DispatchRequest, queue: ModelQueue): number {
-        const isLoading = queue.engines.size > 0 || this.outlook.loading === request.model;
-        return isLoading ? request.deadlineAt : request.deadlineAt - this.outlook.loadMs;
+        const isLeasedOrLoading = queue.engines.size > 0 || this.outlook.loading === request.model;
+        return isLeasedOrLoading ? request.deadlineAt : request.deadlineAt - this.outlook.loadMs;
     }
 
     // Engines.
