--- a/packages/agent/src/configuration.ts
+++ b/packages/agent/src/configuration.ts
@@ -103,7 +103,7 @@
                 // An earlier append with an unknown outcome may still take effect.
                 return mayBeAppended
                     ? { kind: "unknown", message: appended.message }
-                    : { kind: "notInForce", message: `the log did not accept the record: ${appended.message}` };
+                    : { kind: "notInForce", message: `the log did not take it: ${appended.message}` };
             }
             mayBeAppended = true;
             // The record in the log decides the outcome, not the response to the append.
@@ -118,7 +118,7 @@
         }
         return {
             kind: "unknown",
-            message: "the log may have accepted the record but cannot be read; retry with the same apply id",
+            message: "the log may have taken it, but cannot be read; ask again with the same apply id",
         };
     }
 
--- a/packages/agent/src/operators.ts
+++ b/packages/agent/src/operators.ts
@@ -138,7 +138,7 @@
             ? { status: 200, body: { upstream: upstreamId, state: "leaving" } }
             : {
                 status: 404,
-                body: { message: `upstream "${upstreamId}" is not known in this data centre or is already leaving` },
+                body: { message: `upstream "${upstreamId}" is not known in this data centre, or is leaving already` },
             };
     }
 }
--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -189,7 +189,7 @@
             return {
                 type: "refuse",
                 request,
-                verdict: createRefused("queueFull", "the queue is full: too many requests are waiting", retryAfter),
+                verdict: createRefused("queueFull", "too many requests wait here", retryAfter),
             };
         }
         const waitMs = this.readWaitMs(request, queue);
@@ -297,7 +297,7 @@
             this.dequeue(entry);
             const verdict = createRefused(
                 "deadlinePassed",
-                "no engine became available in time",
+                "no engine was free in time",
                 this.formatRetryAfter(waitMs),
             );
             this.commands.push({ type: "refuse", request, verdict });
@@ -497,11 +497,7 @@
         const { entry } = attempt;
         const { request } = entry;
         if (!this.budget.claim()) {
-            const verdict = createRefused(
-                "retryBudgetSpent",
-                `retry budget exhausted; the request was not run: ${reason}`,
-                minRetryAfterSeconds,
-            );
+            const verdict = createRefused("retryBudgetSpent", `not run: ${reason}`, minRetryAfterSeconds);
             this.commands.push({ type: "refuse", request, verdict });
             return;
         }
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/callers.ts
@@ -114,9 +114,7 @@
     ): Promise<Result<CallerRequest, RefusedVerdict>> {
         const { fold, maxBodyBytes, defaultDeadlineMs, secret, createId } = this.context;
         if (!fold.isKnown) {
-            return err(
-                createRefused("noOfferings", "this gateway has not received offerings yet", noOfferingsRetrySeconds),
-            );
+            return err(createRefused("noOfferings", "this gateway knows no offerings yet", noOfferingsRetrySeconds));
         }
         const offerings = fold.offerings;
         const customer = readCustomer(incoming.headers, offerings);
@@ -174,7 +172,7 @@
         const hasToken = request.headers[requestTokenHeader] !== undefined;
         if (!call.value.isIdempotent && !hasToken) {
             const detail =
-                `this call must not run twice: send a token from POST /v1/request-tokens in ${requestTokenHeader}`;
+                `this call must not run twice: ask POST /v1/request-tokens for a token and show it in ${requestTokenHeader}`;
             return response.sendFailure(createRefused("requestTokenRequired", detail));
         }
         const run = (): Promise<Verdict> => runCall(this.context.calls, request, call.value, response, hasToken);
--- a/packages/gateway/src/request.ts
+++ b/packages/gateway/src/request.ts
@@ -77,7 +77,7 @@
         return err(
             isTooLarge
                 ? createRefused("oversizedBody", `the body is larger than ${maxBytes} bytes`)
-                : createRefused("malformedBody", "the body is incomplete"),
+                : createRefused("malformedBody", "the body did not arrive whole"),
         );
     }
 }
--- a/packages/gateway/src/run.ts
+++ b/packages/gateway/src/run.ts
@@ -145,8 +145,6 @@
             return;
         }
         this.context.dispatch.cancel(this.request.id);
-        this.finishRun(
-            createRefused("callerGone", "the caller disconnected before its request was sent to an upstream"),
-        );
+        this.finishRun(createRefused("callerGone", "the caller went away before its request was sent on"));
     }
 }
--- a/packages/gateway/src/tokens.ts
+++ b/packages/gateway/src/tokens.ts
@@ -119,7 +119,7 @@
             case "expired":
                 return response.sendFailure(createMayHaveRun("requestTokenExpired", "the request token has expired"));
             case "inUse": {
-                const detail = "the request is running; send the token again to get its response";
+                const detail = "the request is running; show the token again for its answer";
                 return response.sendFailure(createMayHaveRun("requestTokenInUse", detail, outcomeRetrySeconds));
             }
             case "spent":
@@ -141,9 +141,7 @@
             );
         }
         if (request.isForwarded && heir?.address === this.options.address) {
-            return response.sendFailure(
-                createMayHaveRun("issuerGone", "the gateway that took over the request token has stopped"),
-            );
+            return response.sendFailure(createMayHaveRun("issuerGone", "the heir of the request token has stopped"));
         }
         return this.options.forward(heir?.address ?? token.address, request, response);
     }
@@ -177,7 +175,7 @@
     }
     if (outcome.answer === undefined) {
         return response.sendFailure(
-            createMayHaveRun("requestTokenSpent", "the request has run; its response was too large to store"),
+            createMayHaveRun("requestTokenSpent", "the request has run; its answer was too large to keep"),
         );
     }
     const { status, contentType, body } = outcome.answer;
--- a/packages/log/src/http.ts
+++ b/packages/log/src/http.ts
@@ -58,7 +58,7 @@
                 return err({ effect: isRefusal ? "notDone" : "unknown", message: `status ${response.statusCode}` });
             }
             const parsed = schema.safeParse(JSON.parse(text));
-            return parsed.success ? ok(parsed.data) : err({ effect: "unknown", message: "malformed response" });
+            return parsed.success ? ok(parsed.data) : err({ effect: "unknown", message: "malformed answer" });
         }
         catch (error) {
             const code = (error as { code?: string; }).code ?? "";
--- a/packages/node/src/metrics.ts
+++ b/packages/node/src/metrics.ts
@@ -23,25 +23,25 @@
     });
     private readonly retries = new Counter({
         name: "radishreel_node_retries_total",
-        help: "Retries of attempts inside the program, by the failure of the previous attempt",
+        help: "Attempts repeated inside the program, by what ended the one before",
         labelNames: ["after"] as const,
         registers: [this.registry],
     });
     private readonly unreadableRecords = new Counter({
         name: "radishreel_node_unreadable_records_total",
-        help: "Store records that could not be read, by topic",
+        help: "Records of the store that cannot be read, by topic",
         labelNames: ["topic"] as const,
         registers: [this.registry],
     });
     private readonly leaseEvents = new Counter({
         name: "radishreel_node_claims_total",
-        help: "Events of shard leases, by event",
+        help: "What happened to claims of engines, by event",
         labelNames: ["event"] as const,
         registers: [this.registry],
     });
     private readonly routingVersion = new Gauge({
         name: "radishreel_node_routing_version",
-        help: "Version of the configuration in use",
+        help: "Version of the configuration in force",
         registers: [this.registry],
     });
 
@@ -53,62 +53,62 @@
     });
     private readonly peerBytes = new Counter({
         name: "radishreel_node_peer_bytes_total",
-        help: "Bytes sent to and received from other VMs, including framing",
+        help: "Bytes between VMs, the framing included",
         labelNames: ["direction"] as const,
         registers: [this.registry],
     });
     private readonly storeCalls = new Counter({
         name: "radishreel_node_store_calls_total",
-        help: "Calls to the store, including rejected and unanswered ones, by kind of call",
+        help: "Calls to the store, refused and unanswered ones too, by what they ask",
         labelNames: ["kind"] as const,
         registers: [this.registry],
     });
     private readonly choices = new Counter({
         name: "radishreel_node_choices_total",
-        help: "Comparisons of all upstreams of a service for one request",
+        help: "Times that all upstreams of a service were compared for one request",
         registers: [this.registry],
     });
     private readonly redirects = new Counter({
         name: "radishreel_node_redirects_total",
-        help: "Times that a request chose another upstream because its engine was busier than this VM knew",
+        help: "Times that a request chose anew, since its engine was busier than this VM knew",
         registers: [this.registry],
     });
     private readonly upstreamEnds = new Counter({
         name: "radishreel_node_upstream_ends_total",
-        help: "Upstream processes that ended while they ran requests of this VM, by service",
+        help: "Upstreams whose process ended while requests of this VM ran there, by service",
         labelNames: ["service"] as const,
         registers: [this.registry],
     });
     private readonly upstreamBackoffs = new Counter({
         name: "radishreel_node_upstream_rests_total",
-        help: "Responses in which an upstream requested backoff from this VM",
+        help: "Answers by which an upstream asked this VM for rest",
         registers: [this.registry],
     });
     private readonly suspectRequests = new Gauge({
         name: "radishreel_node_suspected_requests",
-        help: "Requests that this VM suspects because upstream processes recently ended while running them",
+        help: "Requests under which upstreams have ended lately, as far as this VM knows",
         registers: [this.registry],
     });
     private readonly suspectRequestsDropped = new Gauge({
         name: "radishreel_node_suspected_requests_dropped",
-        help: "Suspect requests that were dropped from a full table since the start",
+        help: "Such requests that were forgotten for want of room since the start",
         registers: [this.registry],
     });
     private readonly accountRequests = new Counter({
         name: "radishreel_node_account_requests_total",
-        help: "Requests of client accounts, by account and by the verdict on their arrival",
+        help: "Requests of client accounts, by account and by what became of them when they came",
         labelNames: ["account", "verdict"] as const,
         registers: [this.registry],
     });
     private readonly accountLabels = new Set<string>();
     private readonly configurationAge = new Gauge({
         name: "radishreel_node_configuration_age_seconds",
-        help: "Time since the configuration in use was last confirmed to be the newest",
+        help: "Time since the configuration in force was known to be the newest",
         registers: [this.registry],
     });
     private readonly timerLag = new Histogram({
         name: "radishreel_node_timer_lag_seconds",
-        help: "Delay of the housekeeping timer",
+        help: "How late the timer of regular checks came",
         buckets: lagBucketsSeconds,
         registers: [this.registry],
     });
@@ -117,7 +117,7 @@
         const registers = [this.registry];
         new Gauge({
             name: "radishreel_node_processor_seconds",
-            help: "Processor time used since the start of the process",
+            help: "Processor time used since the start",
             registers,
             collect() {
                 const { user, system } = process.cpuUsage();
--- a/packages/offerings/src/change.ts
+++ b/packages/offerings/src/change.ts
@@ -75,7 +75,7 @@
             const owner = ownerByDigest.get(digest);
             if (owner !== undefined) {
                 const path = ["customers", name, "keyDigests", String(index)];
-                issues.push({ path, message: `customer "${owner}" has the same key; give each customer its own key` });
+                issues.push({ path, message: `the same key belongs to customer "${owner}"; give each its own` });
             }
             ownerByDigest.set(digest, name);
         });
--- a/packages/tokens/src/token.ts
+++ b/packages/tokens/src/token.ts
@@ -31,7 +31,7 @@
 
 /** Parses a token's text. The error is a refusal: no request can have run with a token of another deployment. */
 export function parseToken(secret: string, text: string): Result<RequestToken, RefusedVerdict> {
-    const malformed = createRefused("malformedRequestToken", "this deployment did not issue the request token");
+    const malformed = createRefused("malformedRequestToken", "this deployment did not issue that request token");
     const [payload, signature, ...rest] = text.slice(0, maxTokenLength).split(".");
     if (payload === undefined || signature === undefined || rest.length > 0) {
         return err(malformed);
--- a/packages/upstreams/src/call.ts
+++ b/packages/upstreams/src/call.ts
@@ -105,17 +105,11 @@
             return { verdict: createBreakVerdict(end.phase, end.reason, end.detail), isLeaving };
         }
         if (this.isRefused) {
-            return {
-                verdict: createNotRun("upstreamRefused", "the service refused the call before acting on it"),
-                isLeaving,
-            };
+            return { verdict: createNotRun("upstreamRefused", "the service refused before acting"), isLeaving };
         }
         if (this.missingBytes > 0) {
             return {
-                verdict: createMayHaveRun(
-                    "truncatedAnswer",
-                    "the service's response body is shorter than its content-length",
-                ),
+                verdict: createMayHaveRun("truncatedAnswer", "the service's answer is shorter than it says"),
                 isLeaving,
             };
         }
--- a/packages/upstreams/src/completion.ts
+++ b/packages/upstreams/src/completion.ts
@@ -150,7 +150,7 @@
         this.bufferedChunks.push(chunk);
         this.bufferedBytes += chunk.length;
         if (this.bufferedBytes > (this.options.maxResponseBytes ?? defaultMaxResponseBytes)) {
-            this.refuseResponse("malformedAnswer", "the response is too large");
+            this.refuseResponse("malformedAnswer", "the answer is too large");
         }
     }
 
@@ -197,15 +197,15 @@
     /** The verdict on a response that is complete by HTTP framing. */
     private createResponseVerdict(): CompletionEnd["verdict"] {
         if (this.headers[notRunHeader] === "1" || this.status === 404) {
-            return createNotRun("upstreamRefused", `the engine refused the request with status ${this.status}`);
+            return createNotRun("upstreamRefused", `the engine refused with status ${this.status}`);
         }
         if (this.status >= 500 || this.status === 429) {
-            return createMayHaveRun("upstreamFailed", `the engine responded with status ${this.status}`);
+            return createMayHaveRun("upstreamFailed", `the engine answered with status ${this.status}`);
         }
         if (this.isEventStream) {
             return this.checker.isComplete
                 ? { kind: "complete" }
-                : createMayHaveRun("truncatedAnswer", "the engine's stream ended without its end marker");
+                : createMayHaveRun("truncatedAnswer", "the engine's stream ended without its end mark");
         }
         return this.createBufferedVerdict();
     }
@@ -214,18 +214,15 @@
         const body = Buffer.concat(this.bufferedChunks);
         const declared = this.headers["content-length"];
         if (declared !== undefined && Number(declared) !== body.length) {
-            return createMayHaveRun("truncatedAnswer", "the engine's response body does not match its content-length");
+            return createMayHaveRun("truncatedAnswer", "the engine's answer is shorter than it says");
         }
         if (this.status === 200) {
             const model = parseModel(body.toString("utf8"));
             if (model === undefined) {
-                return createMayHaveRun("malformedAnswer", "the engine's response names no model");
+                return createMayHaveRun("malformedAnswer", "the engine's answer names no model");
             }
             if (model !== this.options.model) {
-                return createMayHaveRun(
-                    "wrongModel",
-                    `requested model ${this.options.model}, but the response names ${model}`,
-                );
+                return createMayHaveRun("wrongModel", `asked for ${this.options.model}, answered by ${model}`);
             }
         }
         this.pass(body, "application/json");
--- a/packages/upstreams/src/exchange.ts
+++ b/packages/upstreams/src/exchange.ts
@@ -141,7 +141,7 @@
                 kind: "broken",
                 phase: "connecting",
                 reason,
-                detail: "the request was cancelled before it was sent",
+                detail: "cancelled before it was sent",
             });
             return;
         }
@@ -157,7 +157,7 @@
         }
         if (this.options.checkBeforeSend?.() === false) {
             this.cancelReason = "leaseLapsed";
-            controller.abort(new Error("the permission to send the request has expired"));
+            controller.abort(new Error("what allowed the request has lapsed"));
             return;
         }
         this.phase = "waiting";
--- a/packages/upstreams/src/stream.ts
+++ b/packages/upstreams/src/stream.ts
@@ -53,11 +53,7 @@
         if (this.firstEvent === undefined) {
             const isTooLong = this.heldBytes > maxHeldBytes;
             return isTooLong
-                ? {
-                    kind: "reject",
-                    reason: "malformedAnswer",
-                    detail: "no complete event at the start of the response",
-                }
+                ? { kind: "reject", reason: "malformedAnswer", detail: "no event in the answer's start" }
                 : { kind: "held" };
         }
         return this.checkFirstEvent(this.firstEvent);
@@ -74,11 +70,7 @@
             return { kind: "reject", reason: "malformedAnswer", detail: "the first event names no model" };
         }
         if (model !== this.model) {
-            return {
-                kind: "reject",
-                reason: "wrongModel",
-                detail: `requested model ${this.model}, but the first event names ${model}`,
-            };
+            return { kind: "reject", reason: "wrongModel", detail: `asked for ${this.model}, answered by ${model}` };
         }
         this.isVerified = true;
         const chunk = this.heldChunks.length === 1 ? this.heldChunks[0]! : Buffer.concat(this.heldChunks);
