--- a/packages/fleet/src/admission.ts
+++ b/packages/fleet/src/admission.ts
@@ -1,8 +1,8 @@
 import { defaultModelLoadMs } from "./basemodels.js";
 import { prefillTokensPerMs, readQueueMs } from "./choose.js";
 import { LoadCounter, type LoadHandle } from "./load.js";
-import { type EnginePlaces } from "./places.js";
-import type { AdmissionAnswer, AdmissionRequest, UpstreamLoad } from "./types.js";
+import { type EngineSlotPlanner } from "./places.js";
+import type { AdmissionReply, AdmissionRequest, UpstreamLoad } from "./types.js";
 
 /**
  * Share of the expected wait that a caller's time limit must cover for the request to be queued. Expected ends of runs
@@ -57,15 +57,15 @@
 }
 
 /** A reply and the VM that receives it. */
-export interface AddressedAnswer {
+export interface AddressedReply {
     readonly vm: string;
-    readonly answer: AdmissionAnswer;
+    readonly answer: AdmissionReply;
 }
 
 /** Options of {@link EngineAdmission}. */
 export interface EngineAdmissionOptions {
     readonly engine: string;
-    readonly places: EnginePlaces;
+    readonly planner: EngineSlotPlanner;
     /**
      * Whether a loaded version of an adapter may serve a request; `oldest` is the oldest version that the request
      * accepts.
@@ -103,10 +103,10 @@
     }
 
     /** Admits, queues or declines a request. */
-    ask(vm: string, request: AdmissionRequest, now: number): AdmissionAnswer {
+    handleRequest(vm: string, request: AdmissionRequest, now: number): AdmissionReply {
         const { ticket, key, version, runMs, onTimeMs, patienceMs } = request;
         const held = this.findUsableVersion(request);
-        const { places: planner } = this.options;
+        const { planner } = this.options;
         if (key === undefined && !planner.hasModel(request.model)) {
             // The wait is 0 before the engine's first report, when its models are unknown.
             const expectedMs = planner.readModelWaitMs(request.model, now) || defaultModelLoadMs;
@@ -128,7 +128,7 @@
         const waitingTokens = this.countWaitingTokens(key);
         if (this.isBusier(request, waitingTokens)) {
             const load = { ...this.load, backlogTokens: this.load.backlogTokens + waitingTokens };
-            return { kind: "busier", ticket, load, isComing: planner.listComing().includes(key) };
+            return { kind: "busier", ticket, load, isComing: planner.listLoading().includes(key) };
         }
         this.tickets.set(formatId(vm, ticket), {
             vm,
@@ -138,13 +138,13 @@
             admittedAt: undefined,
             load: undefined,
         });
-        planner.addWant({ key, version, runMs, onTimeMs, lifeMs: patienceMs }, now);
+        planner.addLoadRequest({ key, version, runMs, onTimeMs, lifeMs: patienceMs }, now);
         return { kind: "queued", ticket, expectedMs };
     }
 
     /** Admits queued requests whose adapter is loaded, and declines those that cannot be served in time any more. */
-    advance(now: number): AddressedAnswer[] {
-        const answers: AddressedAnswer[] = [];
+    advance(now: number): AddressedReply[] {
+        const answers: AddressedReply[] = [];
         for (const [id, ticket] of this.tickets) {
             if (!isWaiting(ticket)) {
                 this.expireRun(id, ticket, now);
@@ -159,12 +159,12 @@
     }
 
     /** Records that the prompt of a request is prefilled. */
-    begin(vm: string, ticket: number): void {
-        this.tickets.get(formatId(vm, ticket))?.load?.begin();
+    finishPrefill(vm: string, ticket: number): void {
+        this.tickets.get(formatId(vm, ticket))?.load?.finishPrefill();
     }
 
     /** Records that a request has finished, or that its caller no longer waits. */
-    end(vm: string, ticket: number, now: number): void {
+    finishRequest(vm: string, ticket: number, now: number): void {
         const found = this.tickets.get(formatId(vm, ticket));
         if (found !== undefined) {
             this.recordRun(found, now);
@@ -200,7 +200,7 @@
     }
 
     /** Declines all queued requests, when the engine cannot be reached or is no longer owned. */
-    refuseAll(expectedMs: number): AddressedAnswer[] {
+    refuseAll(expectedMs: number): AddressedReply[] {
         const waiting = [...this.tickets.values()].filter(isWaiting);
         return waiting.map(ticket => {
             this.remove(ticket);
@@ -209,11 +209,11 @@
     }
 
     /** Expected time until the load of one more adapter would start, in milliseconds. */
-    readNextTurnMs(now: number): number {
-        return this.options.places.readNextTurnMs(now, this.listReleases(now));
+    readNextLoadWaitMs(now: number): number {
+        return this.options.planner.readNextLoadWaitMs(now, this.listReleases(now));
     }
 
-    private checkWaiting(ticket: Ticket, now: number): AdmissionAnswer | undefined {
+    private checkWaiting(ticket: Ticket, now: number): AdmissionReply | undefined {
         const { request, vm, receivedAt } = ticket;
         const held = this.findUsableVersion(request);
         if (held !== undefined) {
@@ -223,12 +223,12 @@
         }
         const remainingMs = receivedAt + request.patienceMs - now;
         // A load from host memory is the fastest load.
-        const isTooLate = remainingMs <= this.options.places.readLoadMs(true);
+        const isTooLate = remainingMs <= this.options.planner.readLoadMs(true);
         if (!isTooLate && now - ticket.reviewedAt < reviewIntervalMs) {
             return undefined;
         }
         ticket.reviewedAt = now;
-        const expectedMs = this.options.places.readWaitMs(request.key!, now, this.listReleases(now));
+        const expectedMs = this.options.planner.readWaitMs(request.key!, now, this.listReleases(now));
         if (!isTooLate && expectedMs * requiredWaitShare <= remainingMs) {
             return undefined;
         }
@@ -255,7 +255,7 @@
 
     private findUsableVersion(request: AdmissionRequest): number | undefined {
         const { key, version } = request;
-        const held = key === undefined ? undefined : this.options.places.findLoadedVersion(key);
+        const held = key === undefined ? undefined : this.options.planner.findLoadedVersion(key);
         return held !== undefined && this.options.mayUse(key!, held, version) ? held : undefined;
     }
 
@@ -277,7 +277,7 @@
         });
         if (key !== undefined) {
             this.uses.set(key, this.countUses(key) + 1);
-            this.options.places.recordUse(key, now);
+            this.options.planner.recordUse(key, now);
         }
     }
 
@@ -285,7 +285,7 @@
         const { vm, request, load } = ticket;
         this.tickets.delete(formatId(vm, request.ticket));
         const { key } = request;
-        load?.end();
+        load?.finish();
         if (key === undefined) {
             return;
         }
@@ -293,7 +293,7 @@
             this.removeUse(key);
         }
         else if (![...this.tickets.values()].some(other => isWaiting(other) && other.request.key === key)) {
-            this.options.places.removeWant(key);
+            this.options.planner.removeLoadRequest(key);
         }
     }
 
--- a/packages/fleet/src/budget.ts
+++ b/packages/fleet/src/budget.ts
@@ -35,7 +35,7 @@
      * @param vmCount Upper bound of the VMs that send in this window.
      * @returns Whether the budget allows the retry.
      */
-    claimRepeat(now: number, vmCount: number): boolean {
+    claimRetry(now: number, vmCount: number): boolean {
         this.expireOld(now);
         if (this.retries.length + 1 > this.countAllowed(vmCount)) {
             return false;
--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -1,5 +1,5 @@
 import type { EngineLimits, Service } from "@radishreel/routing";
-import { rankHomes } from "./rank.js";
+import { rankPreferredEngines } from "./rank.js";
 import { findAdapterKey, type ModelDemand, type UpstreamLoad } from "./types.js";
 import type { FleetView, UpstreamState } from "./view.js";
 
@@ -122,9 +122,9 @@
     /** Prompt tokens from which on a prompt delays other streams of its engine. */
     readonly longPromptTokens: number;
     /** Reads how many of the request's prompt tokens an engine has cached, by engine id. */
-    readonly findKeptTokens: (engine: string) => number;
+    readonly findCachedTokens: (engine: string) => number;
     /** Whether this VM can request admission from an engine's owner. */
-    readonly canAsk: (state: UpstreamState) => boolean;
+    readonly canAskOwner: (state: UpstreamState) => boolean;
 }
 
 /** Costs that apply to engines and plain servers alike, in milliseconds. */
@@ -134,7 +134,7 @@
     return (penalties.get(state.upstream.id) ?? 0)
         + (state.upstream.dataCentre === dataCentre ? 0 : otherDataCentreCostMs)
         + (isUnreachable ? unreachableCostMs : 0)
-        + (state.news?.isReachable === false ? unreachableByOwnerCostMs : 0)
+        + (state.status?.isReachable === false ? unreachableByOwnerCostMs : 0)
         + state.health.readFailureShare(now) * failingCostMs;
 }
 
@@ -142,14 +142,14 @@
 export function chooseServer(options: ChoiceOptions): UpstreamChoice | undefined {
     const { view, service, now, penalties } = options;
     let best: UpstreamChoice | undefined;
-    for (const state of view.listAwake(service.name, now)) {
+    for (const state of view.listAvailable(service.name, now)) {
         if (penalties.get(state.upstream.id) === Infinity) {
             continue;
         }
         const { active } = view.readLoad(state.upstream.id);
         const slots = Math.max(1, state.upstream.slots);
         // The usual time of one request, scaled up for the requests that the server already runs.
-        const workMs = serverWorkMs * state.health.readPace(now)
+        const workMs = serverWorkMs * state.health.readSlowdown(now)
             * (1 + (active / slots) ** 2 + active * serverActiveCostShare);
         const costMs = workMs + readCommonCost(options, state);
         if (best === undefined || costMs < best.costMs) {
@@ -172,16 +172,18 @@
     if (limits === undefined) {
         return undefined;
     }
-    const usable = view.listAwake(service.name, now).filter(state =>
+    const usable = view.listAvailable(service.name, now).filter(state =>
         penalties.get(state.upstream.id) !== Infinity
         && (state.shutdownAt === undefined || state.shutdownAt - now > minRemainingMs)
     );
     const key = findAdapterKey(demand);
-    const preferredEngines = key === undefined ? [] : rankHomes(key, usable.map(state => ({ id: state.upstream.id })));
+    const preferredEngines = key === undefined
+        ? []
+        : rankPreferredEngines(key, usable.map(state => ({ id: state.upstream.id })));
     const preferenceRanks = new Map(preferredEngines.map(({ id }, rank) => [id, rank]));
     const candidates = usable.map(state => {
         const version = key === undefined ? undefined : findUsableVersion(options, state, key);
-        const hasAdapter = version !== undefined || (key !== undefined && state.news?.coming.includes(key) === true);
+        const hasAdapter = version !== undefined || (key !== undefined && state.status?.coming.includes(key) === true);
         return { state, version, hasAdapter };
     });
     const hasCopy = candidates.some(({ state, hasAdapter }) => hasAdapter && isBelievedReachable(state, now));
@@ -199,7 +201,7 @@
 
 /** Whether neither the owner nor this VM has found the engine unreachable. */
 function isBelievedReachable(state: UpstreamState, now: number): boolean {
-    return state.news?.isReachable !== false && !state.health.isPaused(now);
+    return state.status?.isReachable !== false && !state.health.isPaused(now);
 }
 
 /** One engine as a candidate for a request. */
@@ -221,12 +223,12 @@
     const { options, limits, state, key, version, preferenceRank, isSecondCopy } = candidate;
     const { view, demand, now } = options;
     const isReady = key === undefined ? view.hasModel(state, demand.model) : version !== undefined;
-    const canLoad = (state.news?.canOrder ?? false) && options.canAsk(state);
+    const canLoad = (state.status?.canOrder ?? false) && options.canAskOwner(state);
     if (!isReady && !canLoad) {
         return undefined;
     }
     const load = view.readLoad(state.upstream.id);
-    const cachedTokens = isReady ? options.findKeptTokens(state.upstream.id) : 0;
+    const cachedTokens = isReady ? options.findCachedTokens(state.upstream.id) : 0;
     const prefillTokens = Math.max(0, demand.promptTokens - cachedTokens);
     const neededKv = load.kvTokens + demand.promptTokens + demand.outputTokens;
     const isOverfull = neededKv > limits.kvTokens * kvFillShare || load.active >= limits.batchSlots;
@@ -234,7 +236,7 @@
     const readMs = prefillTokens / prefillTokensPerMs;
     // The engine reads the prompts ahead of this one while it loads the adapter.
     const waitMs = isReady ? queueMs : Math.max(queueMs, readLoadCost(view, state, key, preferenceRank));
-    const costMs = (waitMs + readMs) * state.health.readPace(now)
+    const costMs = (waitMs + readMs) * state.health.readSlowdown(now)
         + (isOverfull ? preemptionCostMs : 0)
         + (isSecondCopy ? secondCopyCostMs : 0)
         + readCommonCost(options, state);
@@ -281,19 +283,19 @@
 
 /** Expected wait for an adapter load before the request, in milliseconds. */
 function readLoadCost(view: FleetView, state: UpstreamState, key: string | undefined, preferenceRank: number): number {
-    const { news } = state;
-    if (news === undefined || key === undefined) {
+    const { status } = state;
+    if (status === undefined || key === undefined) {
         return 0;
     }
     if (view.findHeldVersion(state, key) !== undefined) {
         // An owner replaces an old version at once unless it is in use, so this one is in use.
-        return news.coldLoadMs + replacedInUseCostMs;
+        return status.coldLoadMs + replacedInUseCostMs;
     }
-    if (news.coming.includes(key)) {
-        return news.coldLoadMs / 2;
+    if (status.coming.includes(key)) {
+        return status.coldLoadMs / 2;
     }
-    return news.waitMs
-        + (state.warm.has(key) ? news.warmLoadMs : news.coldLoadMs + preferenceRank * preferenceRankCostMs);
+    return status.waitMs
+        + (state.warm.has(key) ? status.warmLoadMs : status.coldLoadMs + preferenceRank * preferenceRankCostMs);
 }
 
 /** The adapter version with which an engine may serve a request: the newest, or for a short time a replaced one. */
--- a/packages/fleet/src/claims.ts
+++ b/packages/fleet/src/claims.ts
@@ -1,16 +1,16 @@
-/** Options of {@link ClaimClock}. */
-export interface ClaimClockOptions {
+/** Options of {@link ShardLeases}. */
+export interface ShardLeasesOptions {
     /** Duration of a lease, in milliseconds, counted from when its renewal was sent. */
-    readonly useMs: number;
+    readonly leaseMs: number;
     /**
      * How long a new holder waits beyond the lease duration of the previous one, in milliseconds. A new holder gives no
      * orders before its lease has been confirmed for longer than this. So a holder whose renewals are confirmed at
      * shorter intervals knows that no other VM gave orders in between, even if the store reassigned the shards several
      * times.
      */
-    readonly settleMs: number;
+    readonly safetyMarginMs: number;
     /** Shortest time between the orders of two alternating holders of one engine, in milliseconds. */
-    readonly turnMs: number;
+    readonly holderGapMs: number;
     /** When this process started: the VM's previous process may have given orders until then. */
     readonly startedAt: number;
 }
@@ -19,12 +19,12 @@
  * Why a VM may give orders to a shard: it waited until all earlier leases had lapsed, the previous holder released the
  * shard, the VM recorded the same generation before a restart, or the holder handed the shard over.
  */
-export type ClaimReason = "waited" | "released" | "recorded" | "handover";
+export type LeaseReason = "waited" | "released" | "recorded" | "handover";
 
 /** The lease of one shard of the engines. */
 interface Lease {
     /** The reason for `mayOrderAt`. */
-    readonly reason: ClaimReason;
+    readonly reason: LeaseReason;
     /** The generation in which this VM first held the shard. */
     readonly generation: number;
     readonly mayOrderAt: number;
@@ -51,7 +51,7 @@
  * response. A lossy link retransmits after about 200 ms, even if the connection was reset meanwhile: at a loss rate of
  * 3 in 100 orders arrive up to 203 ms after they were sent. An order that is lost twice arrives later still.
  */
-export const orderFlightMs = 250;
+export const maxOrderTransitMs = 250;
 
 /**
  * Tracks which shards this VM holds, and when it may give orders to their engines. All times must come from a clock
@@ -61,7 +61,7 @@
  * stops one lease duration after it sent the last confirmed renewal, and a new holder starts only one lease duration
  * plus the safety margin after it learned of its assignment.
  */
-export class ClaimClock {
+export class ShardLeases {
     private readonly leases = new Map<number, Lease>();
     /** Newest generation whose holder has announced that it gives no more orders, by shard. */
     private readonly releasedGenerations = new Map<number, number>();
@@ -80,17 +80,17 @@
     /** Until when orders may be given to shards that were handed over. */
     private handoversValidUntil = 0;
 
-    constructor(private readonly options: ClaimClockOptions) {
-        this.previousProcessOrderAt = options.startedAt + orderFlightMs;
+    constructor(private readonly options: ShardLeasesOptions) {
+        this.previousProcessOrderAt = options.startedAt + maxOrderTransitMs;
     }
 
     /** The generation that this VM saw last; it rises with every change of any shard's holder. */
-    get deal(): number {
+    get currentGeneration(): number {
         return this.generation;
     }
 
     /** The newest generation that this VM knows of, from the store or from other VMs. */
-    get newestDeal(): number {
+    get newestGeneration(): number {
         return Math.max(this.generation, this.reportedGeneration);
     }
 
@@ -104,13 +104,13 @@
     }
 
     /** Why this VM may give orders to a shard, and the generation in which it first held the shard. */
-    explainClaim(shard: number): { readonly reason: ClaimReason; readonly generation: number; } | undefined {
+    explainLease(shard: number): { readonly reason: LeaseReason; readonly generation: number; } | undefined {
         const lease = this.leases.get(shard);
         return lease === undefined ? undefined : { reason: lease.reason, generation: lease.generation };
     }
 
     /** Number of handovers of a shard within the generation that this VM saw last. */
-    readDepth(shard: number): number {
+    readHandoverDepth(shard: number): number {
         const lease = this.leases.get(shard);
         return lease?.generation === this.generation ? lease.handoverDepth : 0;
     }
@@ -121,13 +121,13 @@
      * @returns Whether the response was applied: a response with a generation before the newest known one is outdated.
      */
     applyRenewal(generation: number, shards: readonly number[], sentAt: number, now: number): boolean {
-        if (generation < this.newestDeal) {
+        if (generation < this.newestGeneration) {
             return false;
         }
         // A shard held in two consecutive generations had no other holder. In generations that this VM did not see the
         // shard may have had another holder, which gave orders only if its lease lasted longer than the safety margin.
-        const confirmedAt = this.validUntil - this.options.useMs;
-        const mayHaveMoved = generation - this.generation > 1 && now - confirmedAt > this.options.settleMs;
+        const confirmedAt = this.validUntil - this.options.leaseMs;
+        const mayHaveMoved = generation - this.generation > 1 && now - confirmedAt > this.options.safetyMarginMs;
         if (
             this.generation === this.firstGeneration && generation !== this.firstGeneration
             && !this.isStartConfirmed(now)
@@ -185,7 +185,7 @@
      * generation: if the generation is the one of this VM's leases, they were valid then.
      * @returns By how much the leases are extended, in milliseconds.
      */
-    applyWitness(generation: number, sentAt: number): number {
+    applyPeerRenewal(generation: number, sentAt: number): number {
         return generation === this.generation && this.leases.size > 0 ? this.renewUntil(sentAt) : 0;
     }
 
@@ -196,12 +196,12 @@
      * generation is known, any VM may hold the shards, and the leases are not extended.
      * @returns By how much the leases are extended, in milliseconds.
      */
-    applyAllClear(askedAt: number): number {
+    applyStoreOutage(askedAt: number): number {
         return this.reportedGeneration > this.generation ? 0 : this.renewUntil(askedAt);
     }
 
     /** Records the newest generation that another VM knows of. */
-    recordDeal(generation: number): void {
+    recordGeneration(generation: number): void {
         this.reportedGeneration = Math.max(this.reportedGeneration, generation);
     }
 
@@ -216,7 +216,7 @@
         for (const shard of shards) {
             const mayOrderAt = Math.max(
                 now,
-                (this.lastOrderAt.get(shard) ?? this.previousProcessOrderAt) + this.options.turnMs,
+                (this.lastOrderAt.get(shard) ?? this.previousProcessOrderAt) + this.options.holderGapMs,
             );
             const fence = createFence(generation, handoverDepth);
             this.leases.set(shard, {
@@ -241,7 +241,7 @@
 
     /** Gives up shards that the store has assigned to another VM, and returns them. */
     revokeShards(shards: readonly number[], generation: number, now: number): number[] {
-        this.recordDeal(generation);
+        this.recordGeneration(generation);
         if (generation <= this.generation) {
             return [];
         }
@@ -250,13 +250,13 @@
 
     private endLease(shard: number, now: number): boolean {
         // An order in transit arrives at the engine later than now, and the holder gap counts from its arrival.
-        this.lastOrderAt.set(shard, now + orderFlightMs);
+        this.lastOrderAt.set(shard, now + maxOrderTransitMs);
         return this.leases.delete(shard);
     }
 
     private renewUntil(sentAt: number): number {
         const before = this.validUntil;
-        this.validUntil = Math.max(before, sentAt + this.options.useMs);
+        this.validUntil = Math.max(before, sentAt + this.options.leaseMs);
         return this.validUntil - before;
     }
 
@@ -281,9 +281,9 @@
     private readWaitMs(shard: number, generation: number, now: number): number {
         const lapseMs = this.releasedGenerations.get(shard) === generation - 1
             ? 0
-            : this.options.useMs + this.options.settleMs;
+            : this.options.leaseMs + this.options.safetyMarginMs;
         const lastOrderAt = this.lastOrderAt.get(shard) ?? this.previousProcessOrderAt;
-        const gapMs = Math.max(0, lastOrderAt + this.options.turnMs - now);
+        const gapMs = Math.max(0, lastOrderAt + this.options.holderGapMs - now);
         return Math.max(lapseMs, gapMs);
     }
 
@@ -317,7 +317,7 @@
     }
 
     /** Declares that this VM had no earlier process, so that no shard can come back to it. */
-    setFirstLife(): void {
+    setFirstProcess(): void {
         this.previousProcessOrderAt = -Infinity;
         this.startConfirmedAt = -Infinity;
     }
@@ -327,11 +327,11 @@
      * over this VM's shards. Before this call, no orders are given under the first generation: the other VM, which may
      * not learn of the start itself, may give orders until most VMs report to it that they know of the start.
      */
-    recordStartHeard(now: number, wasTakenOver: boolean): void {
+    recordStartKnown(now: number, wasTakenOver: boolean): void {
         const atOnce = Math.min(this.startConfirmedAt, now);
         const afterGap = Math.max(
-            now + this.options.useMs + orderFlightMs,
-            this.previousProcessOrderAt + this.options.turnMs,
+            now + this.options.leaseMs + maxOrderTransitMs,
+            this.previousProcessOrderAt + this.options.holderGapMs,
         );
         this.startConfirmedAt = wasTakenOver ? Math.min(this.startConfirmedAt, afterGap) : atOnce;
     }
@@ -341,7 +341,7 @@
     }
 
     /** Whether this VM holds shards of the first generation that it may not use before most VMs know of this start. */
-    isHeldBack(now: number): boolean {
+    isStartPending(now: number): boolean {
         return this.generation === this.firstGeneration && this.leases.size > 0 && !this.isStartConfirmed(now);
     }
 
@@ -349,7 +349,7 @@
      * Extends the use of handed-over shards: most VMs, asked at `askedAt`, know of no restart of the handover sources.
      */
     renewHandovers(askedAt: number): void {
-        this.handoversValidUntil = Math.max(this.handoversValidUntil, askedAt + this.options.useMs);
+        this.handoversValidUntil = Math.max(this.handoversValidUntil, askedAt + this.options.leaseMs);
     }
 
     get hasHandovers(): boolean {
@@ -357,7 +357,7 @@
     }
 
     /** Whether this VM may give orders to all shards that it holds. */
-    isSettled(now: number): boolean {
+    canOrderAll(now: number): boolean {
         return this.leases.size > 0 && [...this.leases.keys()].every(shard => this.canOrder(shard, now));
     }
 
--- a/packages/fleet/src/health.ts
+++ b/packages/fleet/src/health.ts
@@ -26,16 +26,16 @@
     private pausedUntil = 0;
 
     /** Records a complete response. @param slowdown Its duration as a factor of the expected time. */
-    recordAnswer(now: number, slowdown: number): void {
+    recordResponse(now: number, slowdown: number): void {
         this.advance(now);
         this.successes += 1;
         this.pauseMs = minPauseMs;
         this.pausedUntil = 0;
-        this.recordPace(slowdown);
+        this.recordSlowdown(slowdown);
     }
 
     /** Records the time to a first byte, or the time already waited for it, as a factor of the expected time. */
-    recordPace(slowdown: number): void {
+    recordSlowdown(slowdown: number): void {
         const bounded = Math.min(Math.max(slowdown, minSlowdown), maxSlowdown);
         this.slowdown += (bounded - this.slowdown) * slowdownWeight;
     }
@@ -65,7 +65,7 @@
     }
 
     /** Duration of responses as a factor of the expected time: 1 is as expected. */
-    readPace(now: number): number {
+    readSlowdown(now: number): number {
         this.advance(now);
         return this.slowdown;
     }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,5 +1,5 @@
 /** A VM's view of engines and services, and the decisions based on it. Pure: callers pass the time. */
-export { type AddressedAnswer, EngineAdmission, type EngineAdmissionOptions } from "./admission.js";
+export { type AddressedReply, EngineAdmission, type EngineAdmissionOptions } from "./admission.js";
 export { RetryBudget, type RetryBudgetOptions } from "./budget.js";
 export {
     type ChoiceOptions,
@@ -12,15 +12,15 @@
     readQueueMs,
     type UpstreamChoice,
 } from "./choose.js";
-export { ClaimClock, type ClaimClockOptions, type ClaimReason, orderFlightMs, readShard } from "./claims.js";
+export { type LeaseReason, maxOrderTransitMs, readShard, ShardLeases, type ShardLeasesOptions } from "./claims.js";
 export { UpstreamHealth } from "./health.js";
-export { KeptParts } from "./kept.js";
-export { LoadCounter, type LoadHandle, type LoadShare, noLoad } from "./load.js";
+export { PrefixCache } from "./kept.js";
+export { type CountedRequest, idleLoad, LoadCounter, type LoadHandle } from "./load.js";
 export { LoadTimes } from "./loadtimes.js";
-export type { EngineOrder, EngineReport, OrderAction, OrderAnswer, PlacesStep } from "./orders.js";
+export type { EngineOrder, EngineReport, OrderAction, OrderOutcome, PlannerStep } from "./orders.js";
 export { PauseThreshold, PromptHistory } from "./pauses.js";
-export { PermitReferee, type PermitRefereeOptions } from "./permits.js";
-export { EnginePlaces, type EnginePlacesOptions } from "./places.js";
+export { PermitIssuer, type PermitIssuerOptions } from "./permits.js";
+export { EngineSlotPlanner, type EngineSlotPlannerOptions } from "./places.js";
 export {
     type Clearance,
     type Crash,
@@ -39,14 +39,14 @@
     type QuotaVerdict,
     readShareLeaseMs,
 } from "./quota.js";
-export { rankHomes } from "./rank.js";
+export { rankPreferredEngines } from "./rank.js";
 export {
-    type AdmissionAnswer,
-    admissionAnswerSchema,
+    type AdmissionReply,
+    admissionReplySchema,
     type AdmissionRequest,
     admissionRequestSchema,
-    type EngineNews,
-    engineNewsSchema,
+    type EngineStatus,
+    engineStatusSchema,
     findAdapterKey,
     formatAdapterKey,
     type HeldModel,
@@ -58,6 +58,6 @@
     upstreamLoadSchema,
     upstreamSchema,
 } from "./types.js";
-export { AdapterVersions, firstVersion, type NamedVersion, usualReplacedMs } from "./versions.js";
+export { AdapterVersions, defaultReplacedMs, firstVersion, type NamedVersion } from "./versions.js";
 export { FleetView, type UpstreamState } from "./view.js";
-export { type AdapterWant } from "./wants.js";
+export { type LoadRequest } from "./wants.js";
--- a/packages/fleet/src/kept.ts
+++ b/packages/fleet/src/kept.ts
@@ -10,7 +10,7 @@
 const maxParts = 400;
 
 /** Tracks which prompt parts each engine's prefix cache should hold, by the requests of this VM. */
-export class KeptParts {
+export class PrefixCache {
     private readonly partsByEngine = new Map<string, Map<string, number>>();
 
     /** Records that an engine has read a request's prompt. */
@@ -31,7 +31,7 @@
     }
 
     /** Tokens at the start of a prompt that an engine has cached for this model and adapter. */
-    countKeptTokens(engine: string, demand: ModelDemand, now: number): number {
+    countCachedTokens(engine: string, demand: ModelDemand, now: number): number {
         const parts = this.partsByEngine.get(engine);
         let tokens = 0;
         for (const part of demand.parts) {
--- a/packages/fleet/src/ordering.ts
+++ b/packages/fleet/src/ordering.ts
@@ -1,4 +1,4 @@
-import type { PlacesStep } from "./orders.js";
+import type { PlannerStep } from "./orders.js";
 
 /**
  * Delay before a report is requested after an order that the engine did not accept, in milliseconds: reports lag
@@ -55,7 +55,7 @@
     }
 
     /** The step that must come before any order; undefined if an order may be sent now. */
-    findStep(now: number): PlacesStep | undefined {
+    findStep(now: number): PlannerStep | undefined {
         if (!this.isConnected) {
             return now >= this.orderNotBefore ? { kind: "report" } : { kind: "wait", untilMs: this.orderNotBefore };
         }
--- a/packages/fleet/src/orders.ts
+++ b/packages/fleet/src/orders.ts
@@ -16,7 +16,7 @@
 }
 
 /** Outcome of an order. */
-export type OrderAnswer =
+export type OrderOutcome =
     /** The engine is carrying out the order. */
     | "accepted"
     /** The engine is already in the requested state. */
@@ -45,7 +45,7 @@
 }
 
 /** The next step of the owner of an engine. */
-export type PlacesStep =
+export type PlannerStep =
     | { readonly kind: "order"; readonly order: EngineOrder; }
     | { readonly kind: "report"; }
     | { readonly kind: "wait"; readonly untilMs: number; };
--- a/packages/fleet/src/permits.ts
+++ b/packages/fleet/src/permits.ts
@@ -8,8 +8,8 @@
     readonly grantedAt: number;
 }
 
-/** Options of {@link PermitReferee}. */
-export interface PermitRefereeOptions {
+/** Options of {@link PermitIssuer}. */
+export interface PermitIssuerOptions {
     /** Longest life of a permit, in milliseconds. @default 20000 */
     readonly lifeMs?: number | undefined;
 }
@@ -18,11 +18,11 @@
  * Lets a suspect request run at one upstream at a time, over all VMs. Otherwise several copies that arrive at several
  * VMs at once would end as many upstreams before the first end is known.
  */
-export class PermitReferee {
+export class PermitIssuer {
     private readonly permits = new Map<string, Permit>();
     private readonly lifeMs: number;
 
-    constructor({ lifeMs }: PermitRefereeOptions = {}) {
+    constructor({ lifeMs }: PermitIssuerOptions = {}) {
         this.lifeMs = lifeMs ?? defaultLifeMs;
     }
 
--- a/packages/fleet/src/places.ts
+++ b/packages/fleet/src/places.ts
@@ -2,7 +2,7 @@
 import { BaseModels } from "./basemodels.js";
 import { LoadForecast, maxConcurrentLoads } from "./forecast.js";
 import { OrderScheduler, reportDelayMs } from "./ordering.js";
-import type { EngineOrder, EngineReport, OrderAction, OrderAnswer, PlacesStep } from "./orders.js";
+import type { EngineOrder, EngineReport, OrderAction, OrderOutcome, PlannerStep } from "./orders.js";
 import {
     type AdapterSlot,
     chooseEvictionCandidate,
@@ -13,7 +13,7 @@
 } from "./place.js";
 import { checkPauseMs, SlotTable } from "./placetable.js";
 import { formatAdapterKey, type HeldModel, parseAdapterKey } from "./types.js";
-import { type AdapterWant, LoadQueue, loadRequestTtlMs } from "./wants.js";
+import { LoadQueue, type LoadRequest, loadRequestTtlMs } from "./wants.js";
 
 /** Number of slots kept free, so that a load need not wait for an eviction. */
 const reservedFreeSlots = 1;
@@ -27,8 +27,8 @@
 /** Pause after an order that the engine rejected as invalid, in milliseconds. */
 const rejectedPauseMs = 2000;
 
-/** Options of {@link EnginePlaces}. */
-export interface EnginePlacesOptions {
+/** Options of {@link EngineSlotPlanner}. */
+export interface EngineSlotPlannerOptions {
     readonly limits: EngineLimits;
     readonly models: readonly HeldModel[];
     /** Versions by adapter key that the engine is assumed to hold, until it reports. @default {} */
@@ -45,7 +45,7 @@
  * Plans the adapter slots of one engine for its owner. Adapters that are loaded, loading or ordered with unknown
  * outcome never exceed the number of slots together: a slot counts as free only after the engine has confirmed it.
  */
-export class EnginePlaces {
+export class EngineSlotPlanner {
     private readonly slots: SlotTable;
     private readonly queue = new LoadQueue();
     private readonly models: BaseModels;
@@ -54,7 +54,7 @@
     private readonly findNewest: (key: string) => number | undefined;
     private readonly forecast = new LoadForecast();
 
-    constructor(options: EnginePlacesOptions) {
+    constructor(options: EngineSlotPlannerOptions) {
         this.limits = options.limits;
         this.findNewest = options.findNewest ?? (() => undefined);
         this.models = new BaseModels({ limits: options.limits, held: options.models });
@@ -82,7 +82,7 @@
         return this.slots.listHeld();
     }
 
-    listComing(): string[] {
+    listLoading(): string[] {
         return this.slots.listLoading();
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** Number of slots by use and number of queued adapters, for logs and status pages. */
-    countPlaces(now: number, countUses: (key: string) => number): SlotCounts & { queued: number; } {
+    countSlots(now: number, countUses: (key: string) => number): SlotCounts & { queued: number; } {
         return { ...this.slots.countByUse(now, countUses), queued: this.listQueued(now).length };
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** Expected time until the load of one more adapter would start, in milliseconds. */
-    readNextTurnMs(now: number, releases: readonly number[]): number {
+    readNextLoadWaitMs(now: number, releases: readonly number[]): number {
         const queued = this.listQueued(now).length;
         return Math.max(
             this.readQueueWaitMs(queued, queued, Infinity, now, releases),
@@ -158,7 +158,7 @@
         const load = {
             position,
             queued,
-            loading: this.listComing().length,
+            loading: this.listLoading().length,
             adapterSlots: this.limits.adapterPlaces,
             releases,
             coldLoadMs: this.slots.readLoadMs(false),
@@ -168,12 +168,12 @@
     }
 
     /** Removes the load request of an adapter that no request waits for any more. */
-    removeWant(key: string): void {
+    removeLoadRequest(key: string): void {
         this.queue.remove(key);
     }
 
     /** Adds a load request, or updates the adapter's queued one. Without a lifetime it must be renewed. */
-    addWant(request: AdapterWant, now: number): void {
+    addLoadRequest(request: LoadRequest, now: number): void {
         const slot = this.slots.find(request.key);
         const version = this.findRequestedVersion(request.key, request.version);
         if (slot?.state !== "loaded" || slot.version < (version ?? 0)) {
@@ -200,7 +200,7 @@
      * Decides the next step.
      * @param countUses Number of running requests that use an adapter, over all VMs.
      */
-    decide(now: number, countUses: (key: string) => number): PlacesStep {
+    decide(now: number, countUses: (key: string) => number): PlannerStep {
         const first = this.scheduler.findStep(now);
         if (first !== undefined) {
             return first;
@@ -219,7 +219,7 @@
     }
 
     /** Applies the outcome of an order. */
-    applyAnswer(order: EngineOrder, outcome: OrderAnswer, now: number): void {
+    applyOutcome(order: EngineOrder, outcome: OrderOutcome, now: number): void {
         if (outcome === "unreachable") {
             this.recordUnreachable(now);
             return;
@@ -254,7 +254,7 @@
      * A report shows when the model is loaded. Each report has a price, so the first is scheduled after the shortest
      * load time.
      */
-    private applyModelOutcome(model: string, outcome: OrderAnswer, now: number): void {
+    private applyModelOutcome(model: string, outcome: OrderOutcome, now: number): void {
         this.scheduler.scheduleReport(now);
         if (outcome === "accepted") {
             this.models.recordLoad(model, now);
@@ -317,7 +317,7 @@
         this.scheduler.recordUnreachable(now);
     }
 
-    private applyLoadOutcome(key: string, order: EngineOrder, outcome: OrderAnswer, now: number): void {
+    private applyLoadOutcome(key: string, order: EngineOrder, outcome: OrderOutcome, now: number): void {
         const slot = this.slots.find(key);
         const version = order.version ?? slot?.version ?? 0;
         if (outcome === "holds") {
@@ -338,7 +338,7 @@
         this.slots.startLoad(key, version, now);
     }
 
-    private applyUnloadOutcome(key: string, outcome: OrderAnswer, now: number): void {
+    private applyUnloadOutcome(key: string, outcome: OrderOutcome, now: number): void {
         const slot = this.slots.find(key);
         if (outcome === "holds") {
             if (slot?.state !== "unloading") {
@@ -360,7 +360,7 @@
      * Resends an order that got no response, with the same expected sequence: the engine carries out at most one of the
      * two, whenever they arrive. A conflict means that the engine's sequence differs from the expected one.
      */
-    private applyUncertainOutcome(order: EngineOrder, outcome: OrderAnswer, now: number): void {
+    private applyUncertainOutcome(order: EngineOrder, outcome: OrderOutcome, now: number): void {
         if (outcome === "conflict") {
             this.scheduler.recordConflict(now);
             return;
@@ -475,7 +475,7 @@
         if (!this.hasModel(model)) {
             return this.createModelOrder(model);
         }
-        if (this.listComing().length >= maxConcurrentLoads) {
+        if (this.listLoading().length >= maxConcurrentLoads) {
             return undefined;
         }
         const hasFreeSlot = this.slots.free > 0;
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -123,7 +123,7 @@
     }
 
     /** Whether a request whose digest has this head may be tracked. */
-    mayKnow(head: string): boolean {
+    mayTrack(head: string): boolean {
         return this.digestHeads.has(head);
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** Whether a report is so old that the VM that wrote it should have removed it. */
-    isForgotten(report: CrashReport, now: number): boolean {
+    isPastRetention(report: CrashReport, now: number): boolean {
         return this.isExpired(report, now - this.lifeMs);
     }
 
--- a/packages/fleet/src/rank.ts
+++ b/packages/fleet/src/rank.ts
@@ -25,7 +25,10 @@
  * to an engine that held it recently and still has it in host memory, from where it loads in a tenth of the time. The
  * order is computed over all engines for each request, for which a cryptographic hash would be too slow.
  */
-export function rankHomes<Item extends { readonly id: string; }>(key: string, items: readonly Item[]): Item[] {
+export function rankPreferredEngines<Item extends { readonly id: string; }>(
+    key: string,
+    items: readonly Item[],
+): Item[] {
     const start = foldText(fnvOffsetBasis, key);
     return items
         .map(item => ({ item, score: foldBits(foldText(start, item.id)) }))
--- a/packages/fleet/src/rests.ts
+++ b/packages/fleet/src/rests.ts
@@ -12,7 +12,7 @@
         this.ends.set(id, Math.max(this.ends.get(id) ?? -Infinity, now + backoffMs));
     }
 
-    isResting(id: string, now: number): boolean {
+    isBackingOff(id: string, now: number): boolean {
         return this.findEnd(id, now) !== undefined;
     }
 
--- a/packages/fleet/src/types.ts
+++ b/packages/fleet/src/types.ts
@@ -88,7 +88,7 @@
 export type UpstreamLoad = z.infer<typeof upstreamLoadSchema>;
 
 /** Status of an engine, as its owner reports it. */
-export const engineNewsSchema = z.object({
+export const engineStatusSchema = z.object({
     engine: z.string(),
     /** Fencing token: increases with each change of owner. */
     fence: z.number(),
@@ -114,8 +114,8 @@
     load: upstreamLoadSchema,
 });
 
-/** See {@link engineNewsSchema}. */
-export type EngineNews = z.infer<typeof engineNewsSchema>;
+/** See {@link engineStatusSchema}. */
+export type EngineStatus = z.infer<typeof engineStatusSchema>;
 
 /** A request for admission, sent to an engine's owner. Times count from the moment of sending. */
 export const admissionRequestSchema = z.object({
@@ -153,7 +153,7 @@
 export type AdmissionRequest = z.infer<typeof admissionRequestSchema>;
 
 /** An owner's reply to a request for admission. */
-export const admissionAnswerSchema = z.discriminatedUnion("kind", [
+export const admissionReplySchema = z.discriminatedUnion("kind", [
     /** The request may be sent now. `version` is the version of its adapter, missing for the base model. */
     z.object({ kind: z.literal("admitted"), ticket: z.number(), version: z.number().optional() }),
     /** The request is queued. `expectedMs` is the expected time until its admission, in milliseconds. */
@@ -177,5 +177,5 @@
     z.object({ kind: z.literal("notOwned"), ticket: z.number() }),
 ]);
 
-/** See {@link admissionAnswerSchema}. */
-export type AdmissionAnswer = z.infer<typeof admissionAnswerSchema>;
+/** See {@link admissionReplySchema}. */
+export type AdmissionReply = z.infer<typeof admissionReplySchema>;
--- a/packages/fleet/src/versions.ts
+++ b/packages/fleet/src/versions.ts
@@ -5,7 +5,7 @@
  * Time for which an engine may still start requests on a replaced version, unless the operator sets another, in
  * milliseconds.
  */
-export const usualReplacedMs = 5000;
+export const defaultReplacedMs = 5000;
 
 /** Time reserved for the cancellation of a request to reach its engine, in milliseconds. */
 const cancellationMs = 400;
@@ -40,7 +40,7 @@
     private readonly usableMs: number;
 
     constructor(options: AdapterVersionsOptions = {}) {
-        this.usableMs = (options.replacedMs ?? usualReplacedMs) - cancellationMs;
+        this.usableMs = (options.replacedMs ?? defaultReplacedMs) - cancellationMs;
     }
 
     /** Records that a version was announced. @param since See {@link NamedVersion}. */
@@ -90,7 +90,7 @@
     }
 
     /** The oldest version for which a request may be sent now; undefined if all versions are allowed. */
-    findOldest(key: string, now: number): number | undefined {
+    findOldestUsable(key: string, now: number): number | undefined {
         const known = this.announced.get(key) ?? [];
         return known.findLast(({ version }) => !this.mayUse(key, version - 1, now))?.version;
     }
--- a/packages/fleet/src/view.ts
+++ b/packages/fleet/src/view.ts
@@ -1,9 +1,9 @@
 import { LeavingUpstreams } from "./departures.js";
 import { UpstreamHealth } from "./health.js";
-import { LoadCounter, type LoadHandle, type LoadShare, noLoad } from "./load.js";
+import { type CountedRequest, idleLoad, LoadCounter, type LoadHandle } from "./load.js";
 import { PromptHistory } from "./pauses.js";
 import { UpstreamBackoffs } from "./rests.js";
-import { type EngineNews, formatAdapterKey, type Upstream, type UpstreamLoad } from "./types.js";
+import { type EngineStatus, formatAdapterKey, type Upstream, type UpstreamLoad } from "./types.js";
 import { AdapterVersions, type AdapterVersionsOptions } from "./versions.js";
 import { WarmAdapters } from "./warm.js";
 
@@ -15,7 +15,7 @@
     /** When the upstream will be gone, if it is shut down at short notice. */
     shutdownAt: number | undefined;
     /** Newest status from the engine's owner; undefined for plain services, and until the first status arrives. */
-    news: EngineNews | undefined;
+    status: EngineStatus | undefined;
     /** The VM that sent the newest status, if that VM owns the engine. */
     owner: string | undefined;
     /** This VM's own load on the engine when the newest status arrived; the owner has counted it. */
@@ -36,7 +36,7 @@
 }
 
 /** Merges the status of one adapter into the adapters of an engine's status. */
-function mergeAdapter(status: EngineNews, adapter: AdapterStatus | undefined): Pick<EngineNews, "held" | "coming"> {
+function mergeAdapter(status: EngineStatus, adapter: AdapterStatus | undefined): Pick<EngineStatus, "held" | "coming"> {
     const { held, coming } = status;
     if (adapter === undefined) {
         return { held, coming };
@@ -54,7 +54,7 @@
     private readonly states = new Map<string, UpstreamState>();
     private readonly leavingUpstreams = new LeavingUpstreams();
     /** Backoffs that upstreams have requested from this VM. */
-    readonly rests = new UpstreamBackoffs();
+    readonly backoffs = new UpstreamBackoffs();
     /** Adapter versions that the operator has announced. Their times are boot time. */
     readonly versions: AdapterVersions;
 
@@ -71,9 +71,9 @@
                 upstream,
                 leavingSince: this.isLeaving(upstream) ? now : undefined,
                 shutdownAt,
-                news: undefined,
+                status: undefined,
                 owner: undefined,
-                ownLoadAtStatus: noLoad,
+                ownLoadAtStatus: idleLoad,
                 health: new UpstreamHealth(),
                 warm: new WarmAdapters(),
                 prompts: new PromptHistory(),
@@ -111,7 +111,7 @@
     }
 
     /** Ids of known upstreams that have announced that they are leaving, while their entries do not show it. */
-    listDeparting(): string[] {
+    listAnnouncedLeaving(): string[] {
         return this.listUpstreams().map(({ upstream }) => upstream)
             .filter(({ id, isLeaving }) => !isLeaving && this.leavingUpstreams.has(id))
             .map(({ id }) => id);
@@ -131,8 +131,8 @@
     }
 
     /** Upstreams of a service that may get a request of this VM now: usable ones without a backoff. */
-    listAwake(service: string, now: number): UpstreamState[] {
-        return this.listUsable(service).filter(({ upstream }) => !this.rests.isResting(upstream.id, now));
+    listAvailable(service: string, now: number): UpstreamState[] {
+        return this.listUsable(service).filter(({ upstream }) => !this.backoffs.isBackingOff(upstream.id, now));
     }
 
     /** Upstreams of a service that may get new requests. */
@@ -145,12 +145,12 @@
      * ignored.
      * @returns Whether the status was newer than the known one.
      */
-    updateNews(vm: string, status: EngineNews, now: number): boolean {
+    updateStatus(vm: string, status: EngineStatus, now: number): boolean {
         const state = this.states.get(status.engine);
         if (state === undefined) {
             return false;
         }
-        const known = state.news;
+        const known = state.status;
         const isOlder = known !== undefined
             && (known.fence > status.fence || (known.fence === status.fence && known.revision >= status.revision));
         if (isOlder) {
@@ -161,7 +161,7 @@
                 state.warm.record(key);
             }
         }
-        state.news = status;
+        state.status = status;
         state.owner = status.isOwned ? vm : undefined;
         state.ownLoadAtStatus = { ...this.ownLoad.read(status.engine) };
         state.prompts.record(status.load.largestPrompt, now);
@@ -171,10 +171,10 @@
     /** Applies an owner's report on the load of its engine and on one adapter, between two full status messages. */
     updateLoad(id: string, load: Readonly<UpstreamLoad>, adapter: AdapterStatus | undefined, now: number): void {
         const state = this.states.get(id);
-        if (state?.news === undefined) {
+        if (state?.status === undefined) {
             return;
         }
-        state.news = { ...state.news, load, ...mergeAdapter(state.news, adapter) };
+        state.status = { ...state.status, load, ...mergeAdapter(state.status, adapter) };
         state.ownLoadAtStatus = { ...this.ownLoad.read(id) };
         state.prompts.record(load.largestPrompt, now);
     }
@@ -182,14 +182,14 @@
     /** Records that a VM is gone and cannot give orders. Its next incarnation counts its messages from 0 again. */
     removeVm(vm: string): void {
         for (const state of this.states.values()) {
-            if (state.owner === vm && state.news !== undefined) {
-                state.news = { ...state.news, canOrder: false, revision: -1 };
+            if (state.owner === vm && state.status !== undefined) {
+                state.status = { ...state.status, canOrder: false, revision: -1 };
             }
         }
     }
 
     /** Counts a request of this VM until it has finished. */
-    addOwnLoad(share: LoadShare, now: number): LoadHandle {
+    addOwnLoad(share: CountedRequest, now: number): LoadHandle {
         this.states.get(share.upstream)?.prompts.record(share.backlogTokens, now);
         return this.ownLoad.add(share);
     }
@@ -201,10 +201,10 @@
     readLoad(id: string): UpstreamLoad {
         const own = this.ownLoad.read(id);
         const state = this.states.get(id);
-        if (state?.news === undefined) {
+        if (state?.status === undefined) {
             return own;
         }
-        const { load } = state.news;
+        const { load } = state.status;
         const before = state.ownLoadAtStatus;
         return {
             active: Math.max(own.active, load.active + own.active - before.active),
@@ -217,8 +217,8 @@
 
     /** Version of an adapter that an engine holds; undefined if the engine is not known to hold the adapter. */
     findHeldVersion(state: UpstreamState, key: string): number | undefined {
-        if (state.news !== undefined) {
-            return state.news.held[key];
+        if (state.status !== undefined) {
+            return state.status.held[key];
         }
         for (const model of state.upstream.models) {
             const adapter = model.adapters.find(held => formatAdapterKey(model.name, held.name) === key);
--- a/packages/fleet/src/wants.ts
+++ b/packages/fleet/src/wants.ts
@@ -21,7 +21,7 @@
 const onTimeHeadStartMs = 2000;
 
 /** A request to load an adapter, on behalf of a waiting model request. */
-export interface AdapterWant {
+export interface LoadRequest {
     readonly key: string;
     /** Oldest version that may serve the request; undefined for any version. */
     readonly version: number | undefined;
@@ -54,7 +54,7 @@
     }
 
     /** Adds a load request, or merges it into the adapter's queued one. Without a lifetime it must be renewed. */
-    add(request: AdapterWant, now: number): void {
+    add(request: LoadRequest, now: number): void {
         const { key, version, runMs, lifeMs = loadRequestTtlMs } = request;
         const onTimeUntil = now + request.onTimeMs;
         const expiresAt = now + lifeMs;
--- a/packages/fleet/test/admission.test.ts
+++ b/packages/fleet/test/admission.test.ts
@@ -1,19 +1,19 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type AddressedAnswer, type AdmissionRequest, EngineAdmission } from "../src/index.js";
-import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
+import { type AddressedReply, type AdmissionRequest, EngineAdmission } from "../src/index.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
 
 /** Creates a simulated engine with its slot planner and its admission. */
 function createAdmission(slots = 4) {
-    const engine = new ModelEngine(slots);
-    const planner = createPlaces(engine, slots);
+    const engine = new SimulatedEngine(slots);
+    const planner = createPlanner(engine, slots);
     const newest = new Map<string, number>();
     const admission = new EngineAdmission({
         engine: "e1",
-        places: planner,
+        planner,
         mayUse: (key, held, oldest) => held >= Math.max(oldest ?? 0, newest.get(key) ?? 0),
     });
-    const answers: AddressedAnswer[] = [];
+    const answers: AddressedReply[] = [];
     const run = (ms: number): void => {
         for (let elapsed = 0; elapsed < ms; elapsed += 10) {
             engine.advance(10);
@@ -44,11 +44,11 @@
 
 test("a request is admitted at once if its adapter is loaded, and otherwise once the load is complete", () => {
     const { admission, answers, run, engine } = createAdmission();
-    const first = admission.ask("a", createRequest(1), engine.now);
+    const first = admission.handleRequest("a", createRequest(1), engine.now);
     assert.is(first.kind, "queued");
     run(300);
     assert.equal(answers, [{ vm: "a", answer: { kind: "admitted", ticket: 1, version: 1 } }]);
-    const second = admission.ask("b", createRequest(2, { key: `${model}/a1` }), engine.now);
+    const second = admission.handleRequest("b", createRequest(2, { key: `${model}/a1` }), engine.now);
     assert.equal(second, { kind: "admitted", ticket: 2, version: 1 });
     assert.is(admission.countUses(`${model}/a1`), 2);
     assert.is(admission.load.active, 2);
@@ -56,19 +56,19 @@
 
 test("the load counts a request until it finishes, and its backlog until its prompt is prefilled", () => {
     const { admission, engine } = createAdmission();
-    admission.ask("a", createRequest(1, { key: undefined }), engine.now);
+    admission.handleRequest("a", createRequest(1, { key: undefined }), engine.now);
     assert.is(admission.load.backlogTokens, 100);
-    admission.begin("a", 1);
+    admission.finishPrefill("a", 1);
     assert.is(admission.load.backlogTokens, 0);
     assert.is(admission.load.active, 1);
-    admission.end("a", 1, engine.now);
+    admission.finishRequest("a", 1, engine.now);
     assert.is(admission.load.active, 0);
 });
 
 test("an adapter is not loaded once no request waits for it", () => {
     const { admission, run, engine, planner } = createAdmission();
-    admission.ask("a", createRequest(1), engine.now);
-    admission.end("a", 1, engine.now);
+    admission.handleRequest("a", createRequest(1), engine.now);
+    admission.finishRequest("a", 1, engine.now);
     run(400);
     assert.equal(planner.listHeld(), {});
 });
@@ -76,23 +76,23 @@
 test("a request that cannot be served within its time limit is declined at once with the expected wait", () => {
     const { admission, run, engine } = createAdmission(2);
     for (const ticket of [1, 2]) {
-        admission.ask("a", createRequest(ticket, { runMs: 8000 }), engine.now);
+        admission.handleRequest("a", createRequest(ticket, { runMs: 8000 }), engine.now);
     }
     run(400);
     assert.is(admission.load.active, 2);
-    const answer = admission.ask("a", createRequest(3, { patienceMs: 1500 }), engine.now);
+    const answer = admission.handleRequest("a", createRequest(3, { patienceMs: 1500 }), engine.now);
     assert.is(answer.kind, "declined");
     assert.ok(answer.kind === "declined" && answer.expectedMs > 5000 && answer.expectedMs < 9000);
-    const queued = admission.ask("a", createRequest(4, { patienceMs: 7900 }), engine.now);
+    const queued = admission.handleRequest("a", createRequest(4, { patienceMs: 7900 }), engine.now);
     assert.is(queued.kind, "queued");
 });
 
 test("a queued request is declined once its expected wait exceeds its time limit, not when the limit ends", () => {
     const { admission, run, engine, answers } = createAdmission(1);
-    admission.ask("a", createRequest(1, { runMs: 600 }), engine.now);
+    admission.handleRequest("a", createRequest(1, { runMs: 600 }), engine.now);
     run(300);
     answers.length = 0;
-    admission.ask("a", createRequest(2, { patienceMs: 1200 }), engine.now);
+    admission.handleRequest("a", createRequest(2, { patienceMs: 1200 }), engine.now);
     // The running request takes far longer than its caller estimated.
     run(600);
     const declined = answers.findIndex(({ answer }) => answer.kind === "declined");
@@ -103,7 +103,7 @@
 
 test("an adapter counts as in use until the latest possible end of a request whose VM is gone", () => {
     const { admission, run, engine } = createAdmission();
-    admission.ask("a", createRequest(1, { endMs: 900 }), engine.now);
+    admission.handleRequest("a", createRequest(1, { endMs: 900 }), engine.now);
     run(300);
     assert.is(admission.countUses(`${model}/a1`), 1);
     run(900);
@@ -114,8 +114,8 @@
 
 test("a VM's report of its running requests replaces the earlier ones of this VM, and of no other VM", () => {
     const { admission, engine } = createAdmission();
-    admission.ask("a", createRequest(1, { key: undefined }), engine.now);
-    admission.ask("b", createRequest(1, { key: undefined }), engine.now);
+    admission.handleRequest("a", createRequest(1, { key: undefined }), engine.now);
+    admission.handleRequest("b", createRequest(1, { key: undefined }), engine.now);
     engine.advance(1000);
     admission.setRuns("a", [createRequest(7), createRequest(8)], engine.now);
     assert.is(admission.load.active, 3);
@@ -129,7 +129,7 @@
 
 test("a queued request stays queued when its VM reports its running requests again", () => {
     const { admission, run, engine, answers } = createAdmission();
-    admission.ask("a", createRequest(1), engine.now);
+    admission.handleRequest("a", createRequest(1), engine.now);
     run(100);
     admission.setRuns("a", [], engine.now);
     run(300);
@@ -138,12 +138,15 @@
 
 test("a request that needs the newest version is not admitted to an older version", () => {
     const { admission, run, engine, answers, newest } = createAdmission();
-    admission.ask("a", createRequest(1), engine.now);
+    admission.handleRequest("a", createRequest(1), engine.now);
     run(300);
-    admission.end("a", 1, engine.now);
+    admission.finishRequest("a", 1, engine.now);
     newest.set(`${model}/a1`, 2);
     answers.length = 0;
-    assert.is(admission.ask("a", createRequest(2, { key: `${model}/a1`, version: 2 }), engine.now).kind, "queued");
+    assert.is(
+        admission.handleRequest("a", createRequest(2, { key: `${model}/a1`, version: 2 }), engine.now).kind,
+        "queued",
+    );
     run(700);
     assert.equal(answers.map(({ answer }) => answer), [{ kind: "admitted", ticket: 2, version: 2 }]);
 });
@@ -151,7 +154,7 @@
 test("a request for a base model is declined when the engine no longer holds the model", () => {
     const { admission, engine, planner } = createAdmission();
     planner.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, engine.now, engine.now);
-    assert.is(admission.ask("a", createRequest(1, { key: undefined }), engine.now).kind, "declined");
+    assert.is(admission.handleRequest("a", createRequest(1, { key: undefined }), engine.now).kind, "declined");
 });
 
 /**
@@ -162,17 +165,17 @@
 test("a request is not queued behind others for the same adapter for longer than its VM expects", () => {
     const { admission, answers, run, engine } = createAdmission();
     const request = { key: `${model}/a1`, prefillTokens: 9000, expectedQueueMs: 290 };
-    assert.is(admission.ask("a", createRequest(1, request), engine.now).kind, "queued");
+    assert.is(admission.handleRequest("a", createRequest(1, request), engine.now).kind, "queued");
     run(20);
-    assert.is(admission.ask("b", createRequest(2, request), engine.now).kind, "queued");
-    const third = admission.ask("c", createRequest(3, request), engine.now);
+    assert.is(admission.handleRequest("b", createRequest(2, request), engine.now).kind, "queued");
+    const third = admission.handleRequest("c", createRequest(3, request), engine.now);
     assert.is(third.kind, "busier");
     assert.is(third.kind === "busier" && third.load.backlogTokens, 18_000);
     assert.is(third.kind === "busier" && third.isComing, true);
     const other = createRequest(4, { ...request, key: `${model}/a2` });
-    assert.is(admission.ask("c", other, engine.now).kind, "queued");
+    assert.is(admission.handleRequest("c", other, engine.now).kind, "queued");
     assert.is(
-        admission.ask("c", createRequest(3, { ...request, expectedQueueMs: undefined }), engine.now).kind,
+        admission.handleRequest("c", createRequest(3, { ...request, expectedQueueMs: undefined }), engine.now).kind,
         "queued",
     );
     run(600);
--- a/packages/fleet/test/budget.test.ts
+++ b/packages/fleet/test/budget.test.ts
@@ -19,7 +19,7 @@
                     budgets[vm]!.recordRequest(now);
                     requests.push(now);
                 }
-                else if (budgets[vm]!.claimRepeat(now, 7)) {
+                else if (budgets[vm]!.claimRetry(now, 7)) {
                     repeats.push(now);
                 }
                 const from = now - windowMs;
@@ -33,11 +33,11 @@
 
 test("a single VM gets the whole slack, and its requests increase its budget", () => {
     const budget = new RetryBudget({ ratio: 0.2, slack: 2, windowMs });
-    assert.equal([1, 2, 3].map(now => budget.claimRepeat(now, 1)), [true, true, false]);
+    assert.equal([1, 2, 3].map(now => budget.claimRetry(now, 1)), [true, true, false]);
     for (let now = 10; now < 30; now++) {
         budget.recordRequest(now);
     }
-    assert.equal([31, 32, 33, 34].map(now => budget.claimRepeat(now, 1)), [true, true, true, false]);
+    assert.equal([31, 32, 33, 34].map(now => budget.claimRetry(now, 1)), [true, true, true, false]);
 });
 
 test.run();
--- a/packages/fleet/test/choose.test.ts
+++ b/packages/fleet/test/choose.test.ts
@@ -4,15 +4,15 @@
 import {
     chooseEngine,
     chooseServer,
-    type EngineNews,
+    type CountedRequest,
+    type EngineStatus,
     FleetView,
-    KeptParts,
-    type LoadShare,
+    idleLoad,
     type ModelDemand,
-    noLoad,
     PauseThreshold,
+    PrefixCache,
     PromptHistory,
-    rankHomes,
+    rankPreferredEngines,
     type Upstream,
     type UpstreamLoad,
     type UpstreamState,
@@ -41,7 +41,7 @@
     };
 }
 
-function createStatus(engine: string, news: Partial<EngineNews> = {}): EngineNews {
+function createStatus(engine: string, news: Partial<EngineStatus> = {}): EngineStatus {
     return {
         engine,
         fence: 1,
@@ -54,7 +54,7 @@
         waitMs: 0,
         coldLoadMs: 250,
         warmLoadMs: 25,
-        load: noLoad,
+        load: idleLoad,
         ...news,
     };
 }
@@ -67,12 +67,12 @@
     const view = new FleetView();
     for (const id of ids) {
         view.updateUpstream(createUpstream(id), 0);
-        view.updateNews("vm", createStatus(id), 0);
+        view.updateStatus("vm", createStatus(id), 0);
     }
     return view;
 }
 
-function addLoad(view: FleetView, share: Partial<LoadShare> & { readonly upstream: string; }): void {
+function addLoad(view: FleetView, share: Partial<CountedRequest> & { readonly upstream: string; }): void {
     view.addOwnLoad({ backlogTokens: 0, kvTokens: 0, hasLongAnswer: false, ...share }, 0);
 }
 
@@ -85,8 +85,8 @@
         penalties,
         demand,
         longPromptTokens: 14_000,
-        findKeptTokens: () => 0,
-        canAsk: () => true,
+        findCachedTokens: () => 0,
+        canAskOwner: () => true,
     };
 }
 
@@ -96,7 +96,7 @@
 
 test("an engine that holds the adapter is preferred to an engine that must load it", () => {
     const view = createView(["e1", "e2", "e3"]);
-    view.updateNews("vm", createStatus("e2", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateStatus("vm", createStatus("e2", { revision: 2, held: { "base/a1": 1 } }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, "e2");
     assert.is(choice?.isReady, true);
@@ -115,8 +115,8 @@
     const preferred = choose(createView(ids))!.state.upstream.id;
     const other = ids.find(id => id !== preferred)!;
     const view = createView(ids);
-    view.updateNews("vm", createStatus(other, { revision: 2, held: { "base/a1": 1 } }), 0);
-    view.updateNews("vm", createStatus(other, { revision: 3 }), 0);
+    view.updateStatus("vm", createStatus(other, { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateStatus("vm", createStatus(other, { revision: 3 }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, other);
     assert.is(choice?.isReady, false);
@@ -124,7 +124,7 @@
 
 test("an adapter is loaded on a second engine only once the first engine has a long backlog", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     const addBacklog = (tokens: number) => addLoad(view, { upstream: "e1", backlogTokens: tokens });
     addBacklog(9000);
     assert.is(choose(view)?.state.upstream.id, "e1");
@@ -134,28 +134,28 @@
 
 test("a replaced adapter version is used for a short time after a newer one is announced, and not afterwards", () => {
     const view = createView(["e1"]);
-    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     view.versions.update("base/a1", 2, 1000);
     assert.is(choose(view, createDemand(), 2000)?.version, 1);
     assert.is(choose(view, createDemand(), 3600)?.isReady, false);
-    view.updateNews("vm", createStatus("e1", { revision: 3, held: { "base/a1": 2 } }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 3, held: { "base/a1": 2 } }), 0);
     assert.is(choose(view, createDemand(), 3600)?.version, 2);
 });
 
 test("a replaced adapter version is not chosen on an engine that would start the request too late", () => {
     const view = createView(["e1", "e2"]);
-    const [short, long] = [0, 80_000].map(backlogTokens => ({ ...noLoad, backlogTokens }));
+    const [short, long] = [0, 80_000].map(backlogTokens => ({ ...idleLoad, backlogTokens }));
     view.versions.update("base/a1", 2, 0);
-    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, load: short! }), 0);
-    view.updateNews("vm", createStatus("e2", { revision: 2, held: { "base/a1": 2 }, load: long! }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, load: short! }), 0);
+    view.updateStatus("vm", createStatus("e2", { revision: 2, held: { "base/a1": 2 }, load: long! }), 0);
     assert.is(choose(view, createDemand(), 1000)?.version, 1);
-    view.updateNews("vm", createStatus("e1", { revision: 3, held: { "base/a1": 1 }, load: long! }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 3, held: { "base/a1": 1 }, load: long! }), 0);
     assert.is(choose(view, createDemand(), 1000)?.version, 2);
 });
 
 test("a newer adapter version is loaded on an engine where the older version is not in use", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 } }), 0);
     view.versions.update("base/a1", 2, 1000);
     const late = choose(view, createDemand(), 3600);
     assert.is(late?.state.upstream.id, "e2");
@@ -188,7 +188,7 @@
 
 test("an adapter is loaded on another engine at once if the owner cannot reach the engine that holds it", () => {
     const view = createView(["e1", "e2"]);
-    view.updateNews("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, isReachable: false }), 0);
+    view.updateStatus("vm", createStatus("e1", { revision: 2, held: { "base/a1": 1 }, isReachable: false }), 0);
     const choice = choose(view);
     assert.is(choice?.state.upstream.id, "e2");
     assert.is(choice?.isReady, false);
@@ -206,30 +206,30 @@
 
 test("an engine status from an earlier owner, or an older one from the same owner, is ignored", () => {
     const view = createView(["e1"]);
-    assert.is(view.updateNews("b", createStatus("e1", { fence: 3, revision: 0, held: { "base/a1": 1 } }), 0), true);
-    assert.is(view.updateNews("a", createStatus("e1", { fence: 2, revision: 9 }), 0), false);
-    assert.is(view.updateNews("b", createStatus("e1", { fence: 3, revision: 0 }), 0), false);
+    assert.is(view.updateStatus("b", createStatus("e1", { fence: 3, revision: 0, held: { "base/a1": 1 } }), 0), true);
+    assert.is(view.updateStatus("a", createStatus("e1", { fence: 2, revision: 9 }), 0), false);
+    assert.is(view.updateStatus("b", createStatus("e1", { fence: 3, revision: 0 }), 0), false);
     assert.is(view.findUpstream("e1")?.owner, "b");
 });
 
 test("a report of one adapter and of an engine's load holds until the owner's next status", () => {
     const view = createView(["e1"]);
-    const load = { ...noLoad, active: 3, backlogTokens: 900 };
+    const load = { ...idleLoad, active: 3, backlogTokens: 900 };
     view.updateLoad("e1", load, { key: "base/a1", version: 2, isComing: false }, 0);
     view.updateLoad("e1", load, { key: "base/a2", version: undefined, isComing: true }, 0);
-    const { held, coming } = view.findUpstream("e1")!.news!;
+    const { held, coming } = view.findUpstream("e1")!.status!;
     assert.equal([held, coming], [{ "base/a1": 2 }, ["base/a2"]]);
     assert.is(view.readLoad("e1").backlogTokens, 900);
-    view.updateNews("vm", createStatus("e1", { revision: 2 }), 0);
-    assert.equal(view.findUpstream("e1")!.news!.held, {});
+    view.updateStatus("vm", createStatus("e1", { revision: 2 }), 0);
+    assert.equal(view.findUpstream("e1")!.status!.held, {});
     assert.is(view.readLoad("e1").backlogTokens, 0);
 });
 
 test("the removal of an engine changes the preferred engine only of the adapters that preferred it", () => {
     const items = ["e1", "e2", "e3", "e4"].map(id => ({ id }));
     for (let index = 0; index < 50; index++) {
-        const before = rankHomes(`k${index}`, items)[0]!.id;
-        const after = rankHomes(`k${index}`, items.filter(({ id }) => id !== "e4"))[0]!.id;
+        const before = rankPreferredEngines(`k${index}`, items)[0]!.id;
+        const after = rankPreferredEngines(`k${index}`, items.filter(({ id }) => id !== "e4"))[0]!.id;
         assert.ok(before === "e4" || before === after);
     }
 });
@@ -259,7 +259,7 @@
     for (let index = 0; index < 98; index += 1) {
         const id = `e${index}`;
         view.updateUpstream(createUpstream(id), 0);
-        view.updateNews("vm", createStatus(id, { held: { [`base/a${index % 30}`]: 1 } }), 0);
+        view.updateStatus("vm", createStatus(id, { held: { [`base/a${index % 30}`]: 1 } }), 0);
     }
     choose(view, createDemand({ adapter: "a1", promptTokens: 18_000 }));
     assert.ok(view.lookups.loads <= 98, `${view.lookups.loads} loads read`);
@@ -271,7 +271,7 @@
     const items = Array.from({ length: 98 }, (_, index) => ({ id: `engine-${index}` }));
     const counts = new Map<string, number>();
     for (let index = 0; index < 9800; index += 1) {
-        const [first, second] = rankHomes(`base/a${index}`, items);
+        const [first, second] = rankPreferredEngines(`base/a${index}`, items);
         for (const name of [`first ${first!.id}`, `second ${second!.id}`]) {
             counts.set(name, (counts.get(name) ?? 0) + 1);
         }
@@ -323,14 +323,14 @@
 });
 
 test("cached parts count from the start of the prompt, for the same engine and adapter, until they expire", () => {
-    const cache = new KeptParts();
+    const cache = new PrefixCache();
     const demand = createDemand({ parts: [{ id: "p", tokens: 100 }, { id: "q", tokens: 50 }, { id: "r", tokens: 9 }] });
     cache.record("e1", demand, 0);
     const other = { ...demand, parts: [{ id: "p", tokens: 100 }, { id: "x", tokens: 5 }, { id: "r", tokens: 9 }] };
-    assert.is(cache.countKeptTokens("e1", other, 10), 100);
-    assert.is(cache.countKeptTokens("e1", { ...other, adapter: "a2" }, 10), 0);
-    assert.is(cache.countKeptTokens("e2", other, 10), 0);
-    assert.is(cache.countKeptTokens("e1", other, 60_000), 0);
+    assert.is(cache.countCachedTokens("e1", other, 10), 100);
+    assert.is(cache.countCachedTokens("e1", { ...other, adapter: "a2" }, 10), 0);
+    assert.is(cache.countCachedTokens("e2", other, 10), 0);
+    assert.is(cache.countCachedTokens("e1", other, 60_000), 0);
 });
 
 test.run();
--- a/packages/fleet/test/claims.test.ts
+++ b/packages/fleet/test/claims.test.ts
@@ -1,18 +1,18 @@
 import fc from "fast-check";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ClaimClock, readShard } from "../src/index.js";
+import { readShard, ShardLeases } from "../src/index.js";
 
-const options = { useMs: 1300, settleMs: 800, turnMs: 3000 };
+const options = { leaseMs: 1300, safetyMarginMs: 800, holderGapMs: 3000 };
 const membershipMs = 2800;
 
-function createLeases(startedAt = 0): ClaimClock {
-    return new ClaimClock({ ...options, startedAt });
+function createLeases(startedAt = 0): ShardLeases {
+    return new ShardLeases({ ...options, startedAt });
 }
 
 test("a VM without an earlier process waits until the previous holder must have stopped", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.applyRenewal(1, [3], 100, 110);
     leases.applyRenewal(1, [3], 1000, 1010);
     assert.is(leases.canOrder(3, 2209), false);
@@ -22,7 +22,7 @@
 
 test("a lease lapses, counted from when its renewal was sent", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.applyRenewal(1, [3], 0, 0);
     leases.applyRenewal(1, [3], 1500, 2700);
     assert.is(leases.canOrder(3, 2799), true);
@@ -31,7 +31,7 @@
 
 test("a shard kept over several generations stays in use if renewals were confirmed at short intervals", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.applyRenewal(1, [3], 0, 0);
     leases.applyRenewal(1, [3], 2000, 2000);
     leases.applyRenewal(4, [3], 2400, 2410);
@@ -42,7 +42,7 @@
 
 test("a release by the holder of the previous generation lets the next holder start at once", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.recordRelease(3, 4, 100);
     leases.applyRenewal(5, [3], 110, 110);
     assert.is(leases.canOrder(3, 111), true);
@@ -50,7 +50,7 @@
 
 test("a release from an earlier generation does not shorten the wait, since there may have been later holders", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.recordRelease(3, 3, 100);
     leases.applyRenewal(5, [3], 110, 110);
     assert.is(leases.canOrder(3, 111), false);
@@ -58,7 +58,7 @@
 
 test("a VM that gets a shard back waits for the holder gap, so that two holders do not alternate", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.applyRenewal(1, [3], 0, 0);
     leases.applyRenewal(2, [], 5000, 5000);
     leases.recordRelease(3, 2, 5400);
@@ -73,12 +73,12 @@
     leases.setRecordedGeneration(7, 1000);
     leases.applyRenewal(7, [3], 1050, 1060);
     assert.is(leases.canOrder(3, 1801), false);
-    leases.recordStartHeard(1200, false);
+    leases.recordStartKnown(1200, false);
     assert.is(leases.canOrder(3, 1700), false);
     assert.is(leases.canOrder(3, 1801), true);
     const other = createLeases(1000);
     other.setRecordedGeneration(6, 1000);
-    other.recordStartHeard(1050, false);
+    other.recordStartKnown(1050, false);
     other.applyRenewal(7, [3], 1050, 1060);
     other.applyRenewal(7, [3], 2000, 2000);
     assert.is(other.canOrder(3, 3150), false);
@@ -94,7 +94,7 @@
 
 test("a handed-over shard is held under a higher fencing token, and only until the next generation", () => {
     const leases = createLeases();
-    leases.setFirstLife();
+    leases.setFirstProcess();
     leases.applyRenewal(5, [1], 0, 0);
     const before = leases.readFence(1);
     leases.applyHandover([2], 4, 1, 10);
@@ -116,7 +116,7 @@
 
 test("a VM that restarts within the generation continues with a higher token than the VM that took over", () => {
     const successor = createLeases(-10_000);
-    successor.recordStartHeard(-9000, false);
+    successor.recordStartKnown(-9000, false);
     successor.applyRenewal(5, [1], 0, 0);
     successor.applyHandover([2], 5, 1, 100);
     successor.renewHandovers(100);
@@ -124,7 +124,7 @@
     const before = successor.readFence(2);
     const restarted = createLeases(2500);
     restarted.setRecordedGeneration(5, 2500);
-    restarted.recordStartHeard(2500, false);
+    restarted.recordStartKnown(2500, false);
     restarted.applyRenewal(5, [2], 2550, 2560);
     assert.equal(successor.revokeHandovers(2600), [2]);
     assert.is(successor.canOrder(2, 2600), false);
@@ -139,14 +139,14 @@
 test("a VM whose shards were taken over waits for the other VM to stop, and for the holder gap", () => {
     const leases = createLeases(1000);
     leases.setRecordedGeneration(7, 1000);
-    leases.recordStartHeard(1200, true);
+    leases.recordStartKnown(1200, true);
     leases.applyRenewal(7, [3], 3000, 3010);
     assert.is(leases.canOrder(3, 4249), false);
     assert.is(leases.canOrder(3, 4250), true);
     const late = createLeases(1000);
     late.setRecordedGeneration(7, 1000);
     late.applyRenewal(7, [3], 5000, 5010);
-    late.recordStartHeard(5000, true);
+    late.recordStartKnown(5000, true);
     assert.is(late.canOrder(3, 6299), false);
     late.applyRenewal(7, [3], 6300, 6310);
     assert.is(late.canOrder(3, 6549), false);
@@ -185,7 +185,7 @@
 
 /** One VM of the simulation, with its leases and its membership in the store's group. */
 interface SimulatedVm {
-    leases: ClaimClock;
+    leases: ShardLeases;
     renewedAt: number;
     isMember: boolean;
     recordedGeneration: number | undefined;
@@ -239,7 +239,7 @@
     restart(index: number, wasTakenOver = false): void {
         const vm = this.vms[index]!;
         vm.leases = createLeases(this.now);
-        vm.leases.recordStartHeard(this.now, wasTakenOver);
+        vm.leases.recordStartKnown(this.now, wasTakenOver);
         if (vm.recordedGeneration !== undefined) {
             vm.leases.setRecordedGeneration(vm.recordedGeneration, this.now);
         }
@@ -248,7 +248,7 @@
     release(index: number): void {
         const vm = this.vms[index]!;
         const shards = vm.leases.listReleasable(this.now);
-        const generation = vm.leases.deal;
+        const generation = vm.leases.currentGeneration;
         vm.leases.releaseAll(this.now);
         vm.isMember = false;
         vm.recordedGeneration = undefined;
@@ -263,12 +263,12 @@
     /** Runs a planned stop while the store is unreachable, and the restart after it. */
     sendHandover(index: number): void {
         const vm = this.vms[index]!;
-        if (!vm.leases.isSettled(this.now)) {
+        if (!vm.leases.canOrderAll(this.now)) {
             return;
         }
         const shards = vm.leases.listReleasable(this.now);
-        const generation = vm.leases.deal;
-        const depth = 1 + Math.max(...shards.map(shard => vm.leases.readDepth(shard)));
+        const generation = vm.leases.currentGeneration;
+        const depth = 1 + Math.max(...shards.map(shard => vm.leases.readHandoverDepth(shard)));
         vm.leases.releaseAll(this.now);
         const successor = this.vms[(index + 1) % this.vms.length]!.leases;
         successor.applyHandover(shards, generation, depth, this.now);
@@ -290,8 +290,8 @@
                 this.orders.push({ shard, vm: index, fence: leases.readFence(shard), at: this.now });
             }
         }
-        if (leases.isSettled(this.now)) {
-            this.vms[index]!.recordedGeneration = leases.deal;
+        if (leases.canOrderAll(this.now)) {
+            this.vms[index]!.recordedGeneration = leases.currentGeneration;
         }
     }
 
@@ -319,7 +319,7 @@
         if (last !== undefined && last.vm !== order.vm) {
             const before = orders.filter(earlier => earlier.vm === order.vm).at(-1);
             assert.ok(
-                before === undefined || order.at - before.at >= options.turnMs,
+                before === undefined || order.at - before.at >= options.holderGapMs,
                 `holders alternate: ${JSON.stringify([before, last, order])}`,
             );
         }
--- a/packages/fleet/test/crashworld.ts
+++ b/packages/fleet/test/crashworld.ts
@@ -1,4 +1,4 @@
-import { type CrashReport, PermitReferee, Quarantine } from "../src/index.js";
+import { type CrashReport, PermitIssuer, Quarantine } from "../src/index.js";
 import { createRandom } from "./play.js";
 
 /** Options of a {@link CrashWorld}. */
@@ -93,7 +93,7 @@
     private readonly vms: Vm[];
     private readonly engines: Engine[];
     private readonly store: CrashReport[] = [];
-    private readonly permitIssuer = new PermitReferee();
+    private readonly permitIssuer = new PermitIssuer();
     private requests = 0;
     private thirdEndAt = Infinity;
 
--- a/packages/fleet/test/crowded.test.ts
+++ b/packages/fleet/test/crowded.test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { formatAdapterKey } from "../src/index.js";
-import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
 
 /**
  * One overloaded engine: requests with runs of 0.7 s and long runs of 1 to 8 s, each for another adapter, at 1.2 times
@@ -57,8 +57,8 @@
 
 /** Simulates the workload. @param hasEstimates Whether load requests state the latency target and the run time. */
 function runWorkload(seed: number, hasEstimates: boolean): Request[] {
-    const engine = new ModelEngine(slots);
-    const planner = createPlaces(engine, slots);
+    const engine = new SimulatedEngine(slots);
+    const planner = createPlanner(engine, slots);
     const requests = createRequests(seed);
     const waiting = new Set<Request>();
     for (const request of requests) {
@@ -71,8 +71,8 @@
 }
 
 function runStep(
-    engine: ModelEngine,
-    planner: ReturnType<typeof createPlaces>,
+    engine: SimulatedEngine,
+    planner: ReturnType<typeof createPlanner>,
     waiting: Set<Request>,
     hasEstimates: boolean,
 ): void {
@@ -95,7 +95,7 @@
         }
         else if (startedAt === undefined && age % renewalIntervalMs < stepMs) {
             const estimates = hasEstimates ? { runMs, onTimeMs: latencyTargetMs - age } : { runMs: 0, onTimeMs: -1 };
-            planner.addWant({ key, version: undefined, ...estimates }, engine.now);
+            planner.addLoadRequest({ key, version: undefined, ...estimates }, engine.now);
         }
     }
     runPlan(engine, planner, () => "answered");
--- a/packages/fleet/test/empty.test.ts
+++ b/packages/fleet/test/empty.test.ts
@@ -9,12 +9,12 @@
 import {
     chooseEngine,
     EngineAdmission,
-    EnginePlaces,
+    EngineSlotPlanner,
     FleetView,
     type HeldModel,
     prefillTokensPerMs,
 } from "../src/index.js";
-import { createNews, createUpstream, limits as usualLimits } from "./engine.js";
+import { createEngineStatus, createUpstream, limits as usualLimits } from "./engine.js";
 
 const model = { name: "base", weightsMb: 72_700, loadMs: 2900, warmLoadMs: 2900, diskLoadMs: 2900, adapterMb: 20 };
 const limits = { ...usualLimits, models: [model] };
@@ -22,7 +22,7 @@
 
 interface TestEngine {
     readonly id: string;
-    readonly planner: EnginePlaces;
+    readonly planner: EngineSlotPlanner;
     readonly admission: EngineAdmission;
     /** When the ordered model load is complete; undefined before an order. */
     modelLoadedAt: number | undefined;
@@ -30,12 +30,12 @@
 }
 
 function createEngine(id: string, models: HeldModel[], now: number): TestEngine {
-    const planner = new EnginePlaces({ limits, models, sequence: 0, now });
+    const planner = new EngineSlotPlanner({ limits, models, sequence: 0, now });
     planner.applyReport({ models, coming: [], sequence: 0, isBusy: false }, now, now);
     return {
         id,
         planner,
-        admission: new EngineAdmission({ engine: id, places: planner, mayUse: () => true }),
+        admission: new EngineAdmission({ engine: id, planner, mayUse: () => true }),
         modelLoadedAt: undefined,
         reports: 0,
     };
@@ -51,7 +51,7 @@
         if (step.kind === "order") {
             assert.is(step.order.adapter, undefined);
             engine.modelLoadedAt = now + model.loadMs;
-            engine.planner.applyAnswer(step.order, "accepted", now);
+            engine.planner.applyOutcome(step.order, "accepted", now);
             continue;
         }
         engine.reports += 1;
@@ -66,14 +66,14 @@
     const view = new FleetView();
     for (const { id, planner, admission } of engines) {
         view.updateUpstream({ ...createUpstream(id), models: [] }, now);
-        const status = createNews(id, {
+        const status = createEngineStatus(id, {
             held: planner.listHeld(),
-            waitMs: admission.readNextTurnMs(now),
+            waitMs: admission.readNextLoadWaitMs(now),
             coldLoadMs: planner.readLoadMs(false),
             warmLoadMs: planner.readLoadMs(true),
             load: admission.load,
         });
-        view.updateNews("owner", status, now);
+        view.updateStatus("owner", status, now);
     }
     return chooseEngine({
         view,
@@ -83,8 +83,8 @@
         penalties: new Map(),
         demand: { model: model.name, adapter: "a7", promptTokens: 9000, outputTokens: 60, parts: [] },
         longPromptTokens: 14_000,
-        findKeptTokens: () => 0,
-        canAsk: () => true,
+        findCachedTokens: () => 0,
+        canAskOwner: () => true,
     })!.state.upstream.id;
 }
 
@@ -134,20 +134,20 @@
         patienceMs: 1000,
         endMs: 5000,
     };
-    const declined = empty.admission.ask("vm", request, 1000);
+    const declined = empty.admission.handleRequest("vm", request, 1000);
     assert.equal(declined, { kind: "declined", ticket: 1, expectedMs: 1900 + 250 });
-    const queued = empty.admission.ask("vm", { ...request, patienceMs: 4000 }, 1000);
+    const queued = empty.admission.handleRequest("vm", { ...request, patienceMs: 4000 }, 1000);
     assert.equal(queued, { kind: "queued", ticket: 1, expectedMs: 1900 + 250 });
-    const base = empty.admission.ask("vm", { ...request, key: undefined }, 1000);
+    const base = empty.admission.handleRequest("vm", { ...request, key: undefined }, 1000);
     assert.equal(base, { kind: "declined", ticket: 1, expectedMs: 1900 });
 });
 
 test("an empty engine with several models loads none before a request needs one", () => {
     const several = { ...limits, models: [model, { ...model, name: "other" }] };
-    const planner = new EnginePlaces({ limits: several, models: [], sequence: 0, now: 0 });
+    const planner = new EngineSlotPlanner({ limits: several, models: [], sequence: 0, now: 0 });
     planner.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, 0, 0);
     assert.is(planner.decide(0, () => 0).kind, "wait");
-    planner.addWant({ key: "other/a1", version: undefined, runMs: 500, onTimeMs: 0 }, 0);
+    planner.addLoadRequest({ key: "other/a1", version: undefined, runMs: 500, onTimeMs: 0 }, 0);
     const step = planner.decide(0, () => 0);
     assert.is(step.kind === "order" && step.order.model, "other");
 });
--- a/packages/fleet/test/engine.ts
+++ b/packages/fleet/test/engine.ts
@@ -1,12 +1,12 @@
 import type { EngineLimits } from "@radishreel/routing";
 import {
-    type EngineNews,
     type EngineOrder,
-    EnginePlaces,
     type EngineReport,
+    EngineSlotPlanner,
+    type EngineStatus,
     formatAdapterKey,
-    noLoad,
-    type OrderAnswer,
+    idleLoad,
+    type OrderOutcome,
     type Upstream,
 } from "../src/index.js";
 
@@ -35,7 +35,7 @@
 }
 
 /** Simulates an engine: adapter slots, an order sequence, loads that take time, and unloads that wait for runs. */
-export class ModelEngine {
+export class SimulatedEngine {
     constructor(private readonly slots = limits.adapterPlaces) {}
 
     now = 0;
@@ -55,7 +55,7 @@
     /** Number of running requests that use an adapter. */
     countRuns: (key: string) => number = key => this.runs.get(key) ?? 0;
 
-    apply(order: EngineOrder): OrderAnswer {
+    apply(order: EngineOrder): OrderOutcome {
         if (order.expectedSequence !== this.sequence) {
             return this.findHeld(order) ?? "conflict";
         }
@@ -128,7 +128,7 @@
         };
     }
 
-    private findHeld(order: EngineOrder): OrderAnswer | undefined {
+    private findHeld(order: EngineOrder): OrderOutcome | undefined {
         const key = formatAdapterKey(order.model, order.adapter!);
         if (order.action === "load") {
             return this.held.has(key) ? "holds" : this.loading.has(key) ? "accepted" : undefined;
@@ -138,8 +138,8 @@
 }
 
 /** Creates a slot planner for an engine, from the engine's report. */
-export function createPlaces(engine: ModelEngine, slots = limits.adapterPlaces): EnginePlaces {
-    return new EnginePlaces({
+export function createPlanner(engine: SimulatedEngine, slots = limits.adapterPlaces): EngineSlotPlanner {
+    return new EngineSlotPlanner({
         limits: { ...limits, adapterPlaces: slots },
         models: engine.readReport().models,
         sequence: 0,
@@ -148,7 +148,7 @@
 }
 
 /** Carries out the planner's steps until it waits. */
-export function runPlan(engine: ModelEngine, planner: EnginePlaces, readFate: () => OrderFate): void {
+export function runPlan(engine: SimulatedEngine, planner: EngineSlotPlanner, readFate: () => OrderFate): void {
     for (let steps = 0; steps < 20; steps++) {
         const step = planner.decide(engine.now, key => engine.countRuns(key));
         if (step.kind === "wait") {
@@ -161,11 +161,11 @@
         const fate = readFate();
         if (fate === "late") {
             engine.delayedOrders.push({ order: step.order, at: engine.now + 5000 });
-            planner.applyAnswer(step.order, "unknown", engine.now);
+            planner.applyOutcome(step.order, "unknown", engine.now);
             continue;
         }
         const outcome = engine.apply(step.order);
-        planner.applyAnswer(step.order, fate === "answered" ? outcome : "unknown", engine.now);
+        planner.applyOutcome(step.order, fate === "answered" ? outcome : "unknown", engine.now);
     }
 }
 
@@ -186,7 +186,7 @@
 }
 
 /** Creates the owner's status of an idle engine, with overrides. */
-export function createNews(engine: string, options: Partial<EngineNews> = {}): EngineNews {
+export function createEngineStatus(engine: string, options: Partial<EngineStatus> = {}): EngineStatus {
     return {
         engine,
         fence: 1,
@@ -199,7 +199,7 @@
         waitMs: 0,
         coldLoadMs: 250,
         warmLoadMs: 25,
-        load: noLoad,
+        load: idleLoad,
         ...options,
     };
 }
--- a/packages/fleet/test/herd.test.ts
+++ b/packages/fleet/test/herd.test.ts
@@ -23,21 +23,24 @@
 
 test("requests from many VMs are spread over the engines that hold their adapter", () => {
     for (const seed of [1, 2, 3]) {
-        const { withinTarget: onTime, admissionRequests: asks, requests: asked } = runBurst({ ...load, seed });
-        assert.ok(asked > 500);
-        assert.ok(onTime > 0.95, `${onTime.toFixed(3)} within the target, seed ${seed}`);
-        assert.ok(asks < 3, `${asks.toFixed(2)} admission requests per request, seed ${seed}`);
+        const { withinTarget, admissionRequests, requests } = runBurst({ ...load, seed });
+        assert.ok(requests > 500);
+        assert.ok(withinTarget > 0.95, `${withinTarget.toFixed(3)} within the target, seed ${seed}`);
+        assert.ok(
+            admissionRequests < 3,
+            `${admissionRequests.toFixed(2)} admission requests per request, seed ${seed}`,
+        );
     }
 });
 
 test("with frequent status messages, hardly any request needs a second admission request", () => {
-    const { withinTarget: onTime, admissionRequests: asks } = runBurst({
+    const { withinTarget, admissionRequests } = runBurst({
         ...load,
         statusIntervalMs: 50,
         requestsPerSecond: 12,
     });
-    assert.ok(onTime > 0.95, `${onTime.toFixed(3)} within the target`);
-    assert.ok(asks < 1.3, `${asks.toFixed(2)} admission requests per request`);
+    assert.ok(withinTarget > 0.95, `${withinTarget.toFixed(3)} within the target`);
+    assert.ok(admissionRequests < 1.3, `${admissionRequests.toFixed(2)} admission requests per request`);
 });
 
 test.run();
--- a/packages/fleet/test/herd.ts
+++ b/packages/fleet/test/herd.ts
@@ -1,5 +1,5 @@
-import { chooseEngine, EngineAdmission, EnginePlaces, FleetView, prefillTokensPerMs } from "../src/index.js";
-import { createNews, createUpstream, limits, model } from "./engine.js";
+import { chooseEngine, EngineAdmission, EngineSlotPlanner, FleetView, prefillTokensPerMs } from "../src/index.js";
+import { createEngineStatus, createUpstream, limits, model } from "./engine.js";
 import { createRandom } from "./play.js";
 
 const adapter = "a1";
@@ -52,8 +52,8 @@
     readonly ticket: number;
     readonly engine: BurstEngine;
     readonly firstAt: number;
-    readonly end: () => void;
-    readonly begin: () => void;
+    readonly finish: () => void;
+    readonly finishPrefill: () => void;
     hasStarted: boolean;
 }
 
@@ -62,10 +62,10 @@
     const random = createRandom(load.seed);
     let now = 0;
     const engines = Array.from({ length: load.engines }, (_, index): BurstEngine => {
-        const places = new EnginePlaces({ limits, models: [], held: { [key]: 1 }, sequence: 1, now: -1000 });
+        const planner = new EngineSlotPlanner({ limits, models: [], held: { [key]: 1 }, sequence: 1, now: -1000 });
         return {
             id: `e${index}`,
-            admission: new EngineAdmission({ engine: `e${index}`, places, mayUse: () => true }),
+            admission: new EngineAdmission({ engine: `e${index}`, planner, mayUse: () => true }),
             statusOffsetMs: Math.floor(random() * load.statusIntervalMs / stepMs) * stepMs,
             freeAt: 0,
             revision: 0,
@@ -77,7 +77,7 @@
         for (const view of views) {
             const { load } = engine.admission;
             const status = { canOrder: false, revision: engine.revision, held: { [key]: 1 }, load };
-            view.updateNews("owner", createNews(engine.id, status), now);
+            view.updateStatus("owner", createEngineStatus(engine.id, status), now);
         }
     };
     for (const engine of engines) {
@@ -101,12 +101,12 @@
                 penalties: new Map(),
                 demand,
                 longPromptTokens: 14_000,
-                findKeptTokens: () => 0,
-                canAsk: () => true,
+                findCachedTokens: () => 0,
+                canAskOwner: () => true,
             })!;
             const engine = engines.find(({ id }) => id === choice.state.upstream.id)!;
             admissionRequests += 1;
-            const answer = engine.admission.ask(`vm${vm}`, {
+            const answer = engine.admission.handleRequest(`vm${vm}`, {
                 ticket: requests,
                 model,
                 key,
@@ -138,13 +138,13 @@
         for (const run of runs) {
             if (!run.hasStarted && now >= run.firstAt) {
                 run.hasStarted = true;
-                run.begin();
-                run.engine.admission.begin(`vm${run.vm}`, run.ticket);
+                run.finishPrefill();
+                run.engine.admission.finishPrefill(`vm${run.vm}`, run.ticket);
             }
             if (now >= run.firstAt + responseMs) {
                 runs.delete(run);
-                run.end();
-                run.engine.admission.end(`vm${run.vm}`, run.ticket, now);
+                run.finish();
+                run.engine.admission.finishRequest(`vm${run.vm}`, run.ticket, now);
             }
         }
         for (const engine of engines) {
--- a/packages/fleet/test/permits.test.ts
+++ b/packages/fleet/test/permits.test.ts
@@ -1,9 +1,9 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { PermitReferee } from "../src/index.js";
+import { PermitIssuer } from "../src/index.js";
 
 test("only one copy of a suspect request runs at a time, over all VMs", () => {
-    const issuer = new PermitReferee();
+    const issuer = new PermitIssuer();
     assert.is(issuer.claim("r", "a", 1, 0), true);
     assert.is(issuer.claim("r", "b", 1, 1), false);
     assert.is(issuer.claim("r", "a", 2, 1), false);
@@ -17,14 +17,14 @@
 });
 
 test("the permits of a VM that is gone are available again", () => {
-    const issuer = new PermitReferee();
+    const issuer = new PermitIssuer();
     issuer.claim("r", "a", 1, 0);
     issuer.removeVm("a");
     assert.is(issuer.claim("r", "b", 1, 1), true);
 });
 
 test("a permit that is never released expires", () => {
-    const issuer = new PermitReferee({ lifeMs: 1000 });
+    const issuer = new PermitIssuer({ lifeMs: 1000 });
     issuer.claim("r", "a", 1, 0);
     assert.is(issuer.claim("r", "b", 1, 999), false);
     assert.is(issuer.claim("r", "b", 1, 1000), true);
--- a/packages/fleet/test/places.test.ts
+++ b/packages/fleet/test/places.test.ts
@@ -1,18 +1,18 @@
 import fc from "fast-check";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type AdapterWant, type EngineOrder, EnginePlaces } from "../src/index.js";
-import { createPlaces, limits, ModelEngine, type OrderFate, runPlan } from "./engine.js";
+import { type EngineOrder, EngineSlotPlanner, type LoadRequest } from "../src/index.js";
+import { createPlanner, limits, type OrderFate, runPlan, SimulatedEngine } from "./engine.js";
 
 function addLoadRequest(
-    planner: EnginePlaces,
-    request: Partial<AdapterWant> & { readonly key: string; },
+    planner: EngineSlotPlanner,
+    request: Partial<LoadRequest> & { readonly key: string; },
     now: number,
 ): void {
-    planner.addWant({ version: undefined, runMs: 500, onTimeMs: 0, ...request }, now);
+    planner.addLoadRequest({ version: undefined, runMs: 500, onTimeMs: 0, ...request }, now);
 }
 
-function runFor(engine: ModelEngine, planner: EnginePlaces, ms: number): void {
+function runFor(engine: SimulatedEngine, planner: EngineSlotPlanner, ms: number): void {
     for (let elapsed = 0; elapsed < ms; elapsed += 10) {
         engine.advance(10);
         runPlan(engine, planner, () => "answered");
@@ -20,23 +20,23 @@
 }
 
 test("a requested adapter is listed as loading, and as held once the engine confirms it", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     runPlan(engine, planner, () => "answered");
     addLoadRequest(planner, { key: "base/a1", version: undefined, runMs: 500 }, 0);
     runPlan(engine, planner, () => "answered");
-    assert.equal(planner.listComing(), ["base/a1"]);
+    assert.equal(planner.listLoading(), ["base/a1"]);
     assert.equal(planner.listHeld(), {});
     runFor(engine, planner, 300);
-    assert.equal(planner.listComing(), []);
+    assert.equal(planner.listLoading(), []);
     assert.equal(Object.keys(planner.listHeld()), ["base/a1"]);
 });
 
 test("a new owner lists the adapters that it inherits until the engine reports", () => {
-    const engine = new ModelEngine();
+    const engine = new SimulatedEngine();
     engine.held.set("base/a1", 1);
     const held = { "base/a1": 1, "base/a2": 1 };
-    const planner = new EnginePlaces({ limits, models: engine.readReport().models, held, sequence: 0, now: 0 });
+    const planner = new EngineSlotPlanner({ limits, models: engine.readReport().models, held, sequence: 0, now: 0 });
     assert.equal(Object.keys(planner.listHeld()), ["base/a1", "base/a2"]);
     assert.is(planner.needsReport, true);
     runPlan(engine, planner, () => "answered");
@@ -47,12 +47,12 @@
 // start, on a clock that begins there, must not take the report for older than its own state: it would count occupied
 // slots as free.
 test("a report right after the start of a process is applied", () => {
-    const engine = new ModelEngine();
+    const engine = new SimulatedEngine();
     engine.now = 60;
     for (const adapter of ["a1", "a2", "a3", "a4"]) {
         engine.held.set(`base/${adapter}`, 1);
     }
-    const planner = new EnginePlaces({ limits, models: engine.readReport().models, sequence: 9, now: engine.now });
+    const planner = new EngineSlotPlanner({ limits, models: engine.readReport().models, sequence: 9, now: engine.now });
     engine.sequence = 9;
     runPlan(engine, planner, () => "answered");
     assert.equal(Object.keys(planner.listHeld()), ["base/a1", "base/a2", "base/a3", "base/a4"]);
@@ -62,15 +62,15 @@
 });
 
 test("a restarted owner finds an adapter loaded from host memory within the time of such a load", () => {
-    const engine = new ModelEngine();
+    const engine = new SimulatedEngine();
     engine.warmLoadMs = 25;
-    const before = createPlaces(engine);
+    const before = createPlanner(engine);
     runPlan(engine, before, () => "answered");
     addLoadRequest(before, { key: "base/a1" }, engine.now);
     runFor(engine, before, 300);
     engine.held.delete("base/a1");
     const models = engine.readReport().models;
-    const planner = new EnginePlaces({ limits, models, sequence: engine.sequence, now: engine.now });
+    const planner = new EngineSlotPlanner({ limits, models, sequence: engine.sequence, now: engine.now });
     runPlan(engine, planner, () => "answered");
     addLoadRequest(planner, { key: "base/a1" }, engine.now);
     addLoadRequest(planner, { key: "base/a2" }, engine.now);
@@ -81,8 +81,8 @@
 });
 
 test("popular adapters keep their slots when an unpopular one can be evicted", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     for (const name of ["a1", "a2", "a3"]) {
         addLoadRequest(planner, { key: `base/${name}`, version: undefined, runMs: 500 }, engine.now);
         runFor(engine, planner, 300);
@@ -99,8 +99,8 @@
 });
 
 test("an adapter in use is not evicted, and a queued adapter is loaded and stays once a slot is idle", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     for (const name of ["a1", "a2", "a3", "a4"]) {
         addLoadRequest(planner, { key: `base/${name}`, version: undefined, runMs: 500 }, engine.now);
         runFor(engine, planner, 300);
@@ -121,20 +121,20 @@
 });
 
 test("adapters for shorter runs are loaded first, until older load requests take precedence", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     runPlan(engine, planner, () => "answered");
     addLoadRequest(planner, { key: "base/long", version: undefined, runMs: 3000 }, 0);
     addLoadRequest(planner, { key: "base/short", version: undefined, runMs: 300 }, 100);
     assert.equal(planner.listQueued(0), ["base/short", "base/long"]);
-    const aged = createPlaces(engine);
+    const aged = createPlanner(engine);
     addLoadRequest(aged, { key: "base/long", version: undefined, runMs: 3000 }, 0);
     addLoadRequest(aged, { key: "base/short", version: undefined, runMs: 300 }, 1800);
     assert.equal(aged.listQueued(1800), ["base/long", "base/short"]);
 });
 
 test("a load request that can still be on time precedes a late one, until the late one is much older", () => {
-    const planner = createPlaces(new ModelEngine());
+    const planner = createPlanner(new SimulatedEngine());
     addLoadRequest(planner, { key: "base/late", onTimeMs: -10 }, 0);
     addLoadRequest(planner, { key: "base/fresh", onTimeMs: 700 }, 1500);
     assert.equal(planner.listQueued(1500), ["base/fresh", "base/late"]);
@@ -144,8 +144,8 @@
 });
 
 test("a newer version replaces the loaded one, which is evicted first and only when unused", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     addLoadRequest(planner, { key: "base/a1" }, 0);
     runFor(engine, planner, 300);
     engine.runs.set("base/a1", 1);
@@ -157,13 +157,13 @@
     engine.runs.set("base/a1", 0);
     addLoadRequest(planner, { key: "base/a1", version: 2 }, engine.now);
     runFor(engine, planner, 60);
-    assert.equal(planner.listComing(), ["base/a1"]);
+    assert.equal(planner.listLoading(), ["base/a1"]);
     runFor(engine, planner, 300);
     assert.is(planner.listHeld()["base/a1"], 2);
 });
 
 test("an engine without its base model loads the model before any adapter", () => {
-    const planner = new EnginePlaces({ limits, models: [], sequence: 0, now: 0 });
+    const planner = new EngineSlotPlanner({ limits, models: [], sequence: 0, now: 0 });
     planner.applyReport({ models: [], coming: [], sequence: 0, isBusy: false }, 0, 0);
     addLoadRequest(planner, { key: "base/a1", version: undefined, runMs: 500 }, 0);
     const step = planner.decide(0, () => 0);
@@ -171,13 +171,13 @@
 });
 
 test("an unreachable engine has an empty load queue, and counts as reachable again once it reports", () => {
-    const engine = new ModelEngine();
-    const planner = createPlaces(engine);
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
     runPlan(engine, planner, () => "answered");
     addLoadRequest(planner, { key: "base/a1", version: undefined, runMs: 500 }, 0);
     const step = planner.decide(0, () => 0);
     assert.is(step.kind, "order");
-    planner.applyAnswer((step as { order: EngineOrder; }).order, "unreachable", 0);
+    planner.applyOutcome((step as { order: EngineOrder; }).order, "unreachable", 0);
     assert.is(planner.isReachable, false);
     assert.equal(planner.listQueued(0), []);
     assert.is(planner.decide(10, () => 0).kind, "wait");
@@ -198,8 +198,8 @@
     });
     fc.assert(
         fc.property(fc.array(step, { minLength: 50, maxLength: 300 }), steps => {
-            const engine = new ModelEngine();
-            const planner = createPlaces(engine);
+            const engine = new SimulatedEngine();
+            const planner = createPlanner(engine);
             for (const { name, waitMs, run, runs, fate } of steps) {
                 engine.advance(waitMs);
                 engine.runs.set(`base/a${run}`, engine.held.has(`base/a${run}`) ? runs : 0);
--- a/packages/fleet/test/play.ts
+++ b/packages/fleet/test/play.ts
@@ -1,5 +1,5 @@
 import { EngineAdmission, formatAdapterKey } from "../src/index.js";
-import { createPlaces, model, ModelEngine, runPlan } from "./engine.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
 
 /** Step of simulated time, in milliseconds. */
 const stepMs = 5;
@@ -65,11 +65,11 @@
 /** Runs a workload through an engine's admission and slot planner, in simulated time. */
 export function runWorkload(workload: Workload): WorkloadResult {
     const { slowness = 1 } = workload;
-    const engine = new ModelEngine(workload.slots);
+    const engine = new SimulatedEngine(workload.slots);
     engine.coldLoadMs = 250 * slowness;
     engine.warmLoadMs = 25 * slowness;
-    const planner = createPlaces(engine, workload.slots);
-    const admission = new EngineAdmission({ engine: "e1", places: planner, mayUse: () => true });
+    const planner = createPlanner(engine, workload.slots);
+    const admission = new EngineAdmission({ engine: "e1", planner, mayUse: () => true });
     engine.countRuns = key => admission.countUses(key);
     const random = createRandom(workload.seed);
     const pickRank = createZipf(workload.adapters, random);
@@ -91,7 +91,7 @@
         // Callers estimate the length of their responses, and are off by a factor.
         const runMs = workload.meanRunMs * slowness * Math.exp((random() + random() - 1) * 1.6) * 0.85;
         const request: SimulatedRequest = { ticket: asked, arrivedAt: engine.now, runMs, endAt: undefined };
-        const answer = admission.ask("vm", {
+        const answer = admission.handleRequest("vm", {
             ticket: asked,
             model,
             key: formatAdapterKey(model, `a${pickRank()}`),
@@ -119,7 +119,7 @@
         for (const [ticket, { endAt }] of running) {
             if (endAt! <= engine.now) {
                 running.delete(ticket);
-                admission.end("vm", ticket, engine.now);
+                admission.finishRequest("vm", ticket, engine.now);
             }
         }
         if (random() < workload.requestsPerSecond * stepMs / 1000) {
--- a/packages/fleet/test/quarantine.test.ts
+++ b/packages/fleet/test/quarantine.test.ts
@@ -55,7 +55,7 @@
     assert.is(quarantine.findVerdict(fatal, 1_800_000).kind, "unknown");
     quarantine.expireOld(1_800_000);
     assert.is(quarantine.requestCount, 0);
-    assert.is(quarantine.mayKnow("aa"), false);
+    assert.is(quarantine.mayTrack("aa"), false);
 });
 
 test("an end that a VM with a fast clock reports counts for no longer than others", () => {
@@ -69,8 +69,8 @@
 test("only requests that share the digest head of a suspect request need their body checked", () => {
     const quarantine = new Quarantine();
     quarantine.applyCrash({ upstream: "e1", at: 0, requests: [fatal, harmless] }, 0);
-    assert.is(quarantine.mayKnow("aa"), true);
-    assert.is(quarantine.mayKnow("bb"), false);
+    assert.is(quarantine.mayTrack("aa"), true);
+    assert.is(quarantine.mayTrack("bb"), false);
 });
 
 test("a caller with ever new bodies neither displaces refused requests nor exceeds the tracking limit", () => {
--- a/packages/fleet/test/rests.test.ts
+++ b/packages/fleet/test/rests.test.ts
@@ -8,8 +8,8 @@
     backoffs.record("e1", 500, 200);
     assert.equal([backoffs.findEnd("e1", 3099), backoffs.findEnd("e1", 3100)], [3100, undefined]);
     backoffs.record("e1", 3000, 2000);
-    assert.equal([backoffs.isResting("e1", 4999), backoffs.isResting("e1", 5000)], [true, false]);
-    assert.is(backoffs.isResting("e1@2", 2000), false);
+    assert.equal([backoffs.isBackingOff("e1", 4999), backoffs.isBackingOff("e1", 5000)], [true, false]);
+    assert.is(backoffs.isBackingOff("e1@2", 2000), false);
 });
 
 test("an upstream can request a new backoff after one has ended", () => {
--- a/packages/fleet/test/versions.test.ts
+++ b/packages/fleet/test/versions.test.ts
@@ -1,19 +1,19 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { AdapterVersions, EnginePlaces, findUsableVersion, FleetView } from "../src/index.js";
-import { createNews, createPlaces, createUpstream, limits, ModelEngine, runPlan } from "./engine.js";
+import { AdapterVersions, EngineSlotPlanner, findUsableVersion, FleetView } from "../src/index.js";
+import { createEngineStatus, createPlanner, createUpstream, limits, runPlan, SimulatedEngine } from "./engine.js";
 
 const key = "base/a1";
 
 /** Enqueues a request that waits for at least this version of the adapter. */
-function enqueueLoad(places: EnginePlaces, version: number | undefined, now = 0): void {
-    places.addWant({ key, version, runMs: 500, onTimeMs: 500, lifeMs: 500 }, now);
+function enqueueLoad(planner: EngineSlotPlanner, version: number | undefined, now = 0): void {
+    planner.addLoadRequest({ key, version, runMs: 500, onTimeMs: 500, lifeMs: 500 }, now);
 }
 
 /** Runs the planned loads for 400 ms. */
-function runLoads(engine: ModelEngine, places: EnginePlaces): void {
+function runLoads(engine: SimulatedEngine, planner: EngineSlotPlanner): void {
     for (let elapsed = 0; elapsed < 400; elapsed += 20) {
-        runPlan(engine, places, () => "answered");
+        runPlan(engine, planner, () => "answered");
         engine.advance(20);
     }
 }
@@ -31,7 +31,7 @@
 test("a VM that was suspended checks held versions against boot time, not its steady time", () => {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
-    view.updateNews("v", createNews("e1", { held: { [key]: 1 } }), 0);
+    view.updateStatus("v", createEngineStatus("e1", { held: { [key]: 1 } }), 0);
     view.versions.update(key, 2, 0);
     const state = view.findUpstream("e1")!;
     assert.is(findUsableVersion({ view, now: 100, bootNow: 100 }, state, key), 1);
@@ -39,9 +39,9 @@
 });
 
 test("an adapter load orders the newest announced version, whichever version the waiting request names", () => {
-    const engine = new ModelEngine();
+    const engine = new SimulatedEngine();
     const versions = new AdapterVersions();
-    const places = new EnginePlaces({
+    const planner = new EngineSlotPlanner({
         limits,
         models: engine.readReport().models,
         sequence: 0,
@@ -49,47 +49,47 @@
         findNewest: adapter => versions.findNewest(adapter)?.version,
     });
     versions.update(key, 3, 0);
-    enqueueLoad(places, 2);
-    runLoads(engine, places);
-    assert.equal(places.listHeld(), { [key]: 3 });
+    enqueueLoad(planner, 2);
+    runLoads(engine, planner);
+    assert.equal(planner.listHeld(), { [key]: 3 });
     assert.is(engine.held.get(key), 3);
 });
 
 test("a request that names an older version than an earlier request does not lower the loaded version", () => {
-    const engine = new ModelEngine();
-    const places = createPlaces(engine);
-    enqueueLoad(places, 3);
-    enqueueLoad(places, 2);
-    enqueueLoad(places, undefined);
-    runLoads(engine, places);
-    assert.equal(places.listHeld(), { [key]: 3 });
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
+    enqueueLoad(planner, 3);
+    enqueueLoad(planner, 2);
+    enqueueLoad(planner, undefined);
+    runLoads(engine, planner);
+    assert.equal(planner.listHeld(), { [key]: 3 });
     assert.is(engine.held.get(key), 3);
 });
 
 test("a newer version is loaded if the held one has expired, even if the waiting request names no version", () => {
-    const engine = new ModelEngine();
+    const engine = new SimulatedEngine();
     engine.held.set(key, 1);
     const versions = new AdapterVersions();
-    const places = new EnginePlaces({
+    const planner = new EngineSlotPlanner({
         limits,
         models: engine.readReport().models,
         sequence: 0,
         now: 0,
         findNewest: adapter => versions.findNewest(adapter)?.version,
     });
-    runLoads(engine, places);
+    runLoads(engine, planner);
     versions.update(key, 2, -Infinity);
-    enqueueLoad(places, undefined, engine.now);
-    runLoads(engine, places);
-    assert.equal(places.listHeld(), { [key]: 2 });
+    enqueueLoad(planner, undefined, engine.now);
+    runLoads(engine, planner);
+    assert.equal(planner.listHeld(), { [key]: 2 });
 });
 
 test("an adapter without an announced version is reported as its first version", () => {
-    const engine = new ModelEngine();
-    const places = createPlaces(engine);
-    enqueueLoad(places, undefined);
-    runLoads(engine, places);
-    assert.equal(places.listHeld(), { [key]: 1 });
+    const engine = new SimulatedEngine();
+    const planner = createPlanner(engine);
+    enqueueLoad(planner, undefined);
+    runLoads(engine, planner);
+    assert.equal(planner.listHeld(), { [key]: 1 });
 });
 
 test.run();
--- a/packages/node/src/accounts/guard.ts
+++ b/packages/node/src/accounts/guard.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from "../knowledge/cluster.js";
 import type { PeerMessage } from "../links/messages.js";
 import type { CallerDemand, CallerIdentity, CallerKey } from "../ports.js";
-import type { OwnAnswer, RefusalReason } from "../requests/caller.js";
+import type { RefusalReason, RefusalResponse } from "../requests/caller.js";
 import { type ConfirmationMessage, Confirmations } from "./confirmations.js";
 import { type QuotaClaim, type QuotaMessage, Quotas } from "./quotas.js";
 
@@ -48,7 +48,7 @@
 export type AccountVerdict = "admitted" | AccountReason;
 
 /** Response to a request that is refused because of its account. */
-type AccountRefusal = OwnAnswer & { readonly reason: AccountReason; };
+type AccountRefusal = RefusalResponse & { readonly reason: AccountReason; };
 
 /** Messages between VMs about accounts. */
 export type AccountMessage = ConfirmationMessage | QuotaMessage;
@@ -138,7 +138,7 @@
     }
 
     /** Resolves a request's account. Queries other VMs for an unknown key, since it may be a new one. */
-    async resolveAccount(route: Route, demand: CallerDemand): Promise<Result<Account | undefined, OwnAnswer>> {
+    async resolveAccount(route: Route, demand: CallerDemand): Promise<Result<Account | undefined, RefusalResponse>> {
         if (this.isKeyed(route) && demand.key?.kind === "key" && this.findAccount(demand.key) === undefined) {
             await this.confirmations.askPeers();
         }
@@ -201,7 +201,7 @@
     }
 
     /** Claims a request's cost. @returns The response to the caller if the cost is not granted. */
-    async claimQuota(claim: QuotaClaim | undefined): Promise<OwnAnswer | undefined> {
+    async claimQuota(claim: QuotaClaim | undefined): Promise<RefusalResponse | undefined> {
         if (claim === undefined) {
             return undefined;
         }
--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -1,10 +1,16 @@
-import { type CrashReport, type FleetView, rankHomes, type RefusedRequest, type Upstream } from "@radishreel/fleet";
+import {
+    type CrashReport,
+    type FleetView,
+    rankPreferredEngines,
+    type RefusedRequest,
+    type Upstream,
+} from "@radishreel/fleet";
 import { setTimeout as wait } from "node:timers/promises";
 import type { DecisionLog } from "../decisions.js";
 import type { PeerMessage } from "../links/messages.js";
 import type { CrashReportStore } from "../ports.js";
 import type { AttemptEnd } from "../requests/attempt.js";
-import type { OwnAnswer } from "../requests/caller.js";
+import type { RefusalResponse } from "../requests/caller.js";
 import type { Job } from "../requests/job.js";
 import { readLastSendAt } from "../requests/patience.js";
 import { type PermitMessage, Permits } from "./permits.js";
@@ -30,7 +36,7 @@
     readonly send: (vm: string, message: PeerMessage) => boolean;
     readonly broadcast: (message: PeerMessage) => void;
     /** VMs that can issue permits for suspect requests: all VMs that may run these requests choose among them. */
-    readonly listReferees: () => string[];
+    readonly listPermitIssuers: () => string[];
     /** Called when verdicts may have changed, so that waiting requests check theirs again. */
     readonly onChange: () => void;
     /** Called when the process of an upstream ended while it ran requests of this VM. */
@@ -42,7 +48,7 @@
 /** When an attempt was sent, and when its first event arrived. */
 export interface AttemptTimes {
     readonly sentAt: number;
-    readonly begunAt: number | undefined;
+    readonly firstEventAt: number | undefined;
 }
 
 /** Detects requests that end the upstream processes that run them, and refuses them. */
@@ -85,7 +91,7 @@
     }
 
     /** The response to a quarantined request; undefined if the request is not quarantined. */
-    findRefusal(job: Job): OwnAnswer | undefined {
+    findRefusal(job: Job): RefusalResponse | undefined {
         const verdict = this.reports.findVerdict(job.digest);
         if (verdict.kind !== "refused") {
             return undefined;
@@ -99,13 +105,13 @@
     }
 
     /** Whether a request is suspect and has no permit to run. */
-    isHeld(job: Job): boolean {
+    isAwaitingPermit(job: Job): boolean {
         return job.permit === undefined && this.reports.findVerdict(job.digest).kind === "suspected";
     }
 
     /** Whether a request needs a permit to run, and has time left to wait for it. */
     mayWaitForPermit(job: Job): boolean {
-        return this.isHeld(job) && !job.caller.hasLeft && this.options.readTime() < readLastSendAt(job);
+        return this.isAwaitingPermit(job) && !job.caller.hasLeft && this.options.readTime() < readLastSendAt(job);
     }
 
     /** Waits until a suspect request has a permit to run, is cleared or refused, or runs out of time. */
@@ -122,7 +128,12 @@
     }
 
     /** Records the end of an attempt. Resolves once the upstream is probed, or after {@link probeResultWaitMs}. */
-    async recordEnd(job: Job, upstream: Upstream, end: AttemptEnd, { sentAt, begunAt }: AttemptTimes): Promise<void> {
+    async recordEnd(
+        job: Job,
+        upstream: Upstream,
+        end: AttemptEnd,
+        { sentAt, firstEventAt: begunAt }: AttemptTimes,
+    ): Promise<void> {
         if (end.kind === "complete" || end.kind === "failed") {
             this.reports.recordCompletion(job.digest);
             return;
@@ -175,7 +186,7 @@
     }
 
     /** Creates the messages to a VM whose link has just opened. */
-    createGreeting(): PeerMessage[] {
+    createInitialMessages(): PeerMessage[] {
         const reports = this.listReports();
         return reports.length === 0 ? [] : [{ type: "crashReports", reports }];
     }
@@ -208,6 +219,6 @@
 
     /** The VM that issues the permits of a suspect request for all VMs. */
     private findPermitIssuer(request: string): string | undefined {
-        return rankHomes(request, this.options.listReferees().map(id => ({ id })))[0]?.id;
+        return rankPreferredEngines(request, this.options.listPermitIssuers().map(id => ({ id })))[0]?.id;
     }
 }
--- a/packages/node/src/crashes/permits.ts
+++ b/packages/node/src/crashes/permits.ts
@@ -1,4 +1,4 @@
-import { PermitReferee } from "@radishreel/fleet";
+import { PermitIssuer } from "@radishreel/fleet";
 import { setTimeout as wait } from "node:timers/promises";
 import type { PeerMessage } from "../links/messages.js";
 
@@ -27,7 +27,7 @@
 
 /** Claims permits to run suspect requests, and issues permits to other VMs. */
 export class Permits {
-    private readonly issuer = new PermitReferee();
+    private readonly issuer = new PermitIssuer();
     private readonly pendingClaims = new Map<number, (mayRun: boolean) => void>();
     private lastTicket = 0;
 
--- a/packages/node/src/crashes/reports.ts
+++ b/packages/node/src/crashes/reports.ts
@@ -74,7 +74,7 @@
 
     /** The verdict on a request. Its body is only digested if a known request is equal in all other parts. */
     findVerdict(digest: RequestDigest): RequestVerdict {
-        if (this.quarantine.requestCount === 0 || !this.quarantine.mayKnow(digest.head)) {
+        if (this.quarantine.requestCount === 0 || !this.quarantine.mayTrack(digest.head)) {
             return { kind: "unknown" };
         }
         return this.quarantine.findVerdict(digest.full, this.readWall());
@@ -129,7 +129,7 @@
     /** Applies a report of another VM, or of an earlier process of this VM. @returns Whether the report was new. */
     applyReport(report: CrashReport): boolean {
         const now = this.readWall();
-        if (report.name.startsWith(`${this.options.vm}/`) || this.quarantine.isForgotten(report, now)) {
+        if (report.name.startsWith(`${this.options.vm}/`) || this.quarantine.isPastRetention(report, now)) {
             this.namesToExpire.add(report.name);
         }
         const isNew = this.quarantine.applyReport(report, now);
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -2,10 +2,9 @@
 export type { AccountBounds } from "./accounts/index.js";
 export { BootClock } from "./clock.js";
 export { DecisionLog, type DecisionLogOptions, type LineSink } from "./decisions.js";
-export { usualEntriesPauseMs } from "./knowledge/readers.js";
+export { defaultEntriesPauseMs } from "./knowledge/readers.js";
 export type { NodeOptions, NodeSettings } from "./options.js";
 export type {
-    AnswerHead,
     CallerDemand,
     CallerIdentity,
     CallerKey,
@@ -18,12 +17,13 @@
     RawHeaders,
     ReportFailure,
     RequestDialect,
+    ResponseHead,
     SendOptions,
-    ShardClaims,
-    ShardDeal,
+    ShardAssigner,
+    ShardAssignment,
     UnreadableRecord,
 } from "./ports.js";
 export { NodeProgram } from "./program.js";
 export { UpstreamConnection } from "./requests/connections.js";
 export { EventSplitter, type StreamEvent } from "./requests/events.js";
-export { type ExpectedAnswer, readWords, type UpstreamWords } from "./requests/words.js";
+export { type ExpectedResponse, readResponseMetadata, type ResponseMetadata } from "./requests/words.js";
--- a/packages/node/src/knowledge/departures.ts
+++ b/packages/node/src/knowledge/departures.ts
@@ -2,8 +2,8 @@
 import type { DecisionLog } from "../decisions.js";
 import type { PeerMessage } from "../links/messages.js";
 
-/** Options of {@link DepartureSharing}. */
-export interface DepartureSharingOptions {
+/** Options of {@link LeavingUpstreamSharing}. */
+export interface LeavingUpstreamSharingOptions {
     readonly view: FleetView;
     readonly log: DecisionLog;
     readonly readTime: () => number;
@@ -17,11 +17,11 @@
  * the only source of this. A VM that learns it from a response broadcasts it once; a VM that learns it from a peer does
  * not forward it.
  */
-export class DepartureSharing {
-    constructor(private readonly options: DepartureSharingOptions) {}
+export class LeavingUpstreamSharing {
+    constructor(private readonly options: LeavingUpstreamSharingOptions) {}
 
     /** Records that an upstream announced in a response to this VM that it is leaving. */
-    recordAnswer(upstream: string): void {
+    recordResponse(upstream: string): void {
         if (this.apply([upstream], "answer")) {
             this.options.broadcast({ type: "upstreamsLeaving", upstreams: [upstream] });
         }
@@ -33,8 +33,8 @@
     }
 
     /** Creates the messages for a VM whose link has just opened; usually none. */
-    createGreeting(): PeerMessage[] {
-        const upstreams = this.options.view.listDeparting();
+    createInitialMessages(): PeerMessage[] {
+        const upstreams = this.options.view.listAnnouncedLeaving();
         return upstreams.length === 0 ? [] : [{ type: "upstreamsLeaving", upstreams }];
     }
 
--- a/packages/node/src/knowledge/readers.ts
+++ b/packages/node/src/knowledge/readers.ts
@@ -5,7 +5,7 @@
 const readerTimeoutPauses = 7 / 3;
 
 /** Default pause between two reads of upstream entries from the store, in milliseconds. */
-export const usualEntriesPauseMs = 300;
+export const defaultEntriesPauseMs = 300;
 
 /** Options of {@link StoreReaders}. */
 export interface StoreReadersOptions {
@@ -47,7 +47,7 @@
     }
 
     private isFresh({ updatedAt }: ReaderState, now: number): boolean {
-        return now - updatedAt <= readerTimeoutPauses * (this.options.entriesPauseMs ?? usualEntriesPauseMs);
+        return now - updatedAt <= readerTimeoutPauses * (this.options.entriesPauseMs ?? defaultEntriesPauseMs);
     }
 
     /** Finds the VM that reads the store for this one; undefined if this VM must read the store itself. */
--- a/packages/node/src/knowledge/sharing.ts
+++ b/packages/node/src/knowledge/sharing.ts
@@ -3,7 +3,7 @@
 import type { PeerMessage, ReadPositions } from "../links/messages.js";
 import type { ClusterChange, ClusterStore } from "../ports.js";
 import type { ClusterState } from "./cluster.js";
-import { StoreReaders, usualEntriesPauseMs } from "./readers.js";
+import { defaultEntriesPauseMs, StoreReaders } from "./readers.js";
 
 /**
  * Time in which this VM should receive on its own what another VM has read, in pauses between reads. Readers send their
@@ -45,10 +45,10 @@
     readonly send: (vm: string, message: PeerMessage) => void;
     readonly broadcast: (message: PeerMessage) => void;
     /** Sends to the VMs of the own data centre, or to all VMs if all are linked to each other. */
-    readonly sendNear: (message: PeerMessage) => void;
+    readonly sendToDataCentre: (message: PeerMessage) => void;
     readonly listLinked: () => string[];
     /** Reads the time since the last call to the store that got a response, in milliseconds. */
-    readonly readStoreQuietMs: () => number;
+    readonly readStoreSilenceMs: () => number;
     /** Lists the current crash reports. */
     readonly listCrashReports: () => CrashReport[];
     /** Pause between two reads of upstream entries from the store, in milliseconds. @default 300 */
@@ -83,7 +83,7 @@
     }
 
     /** Forwards changes that were new to this VM to its followers. */
-    passChanges(changes: readonly ClusterChange[]): void {
+    forwardChanges(changes: readonly ClusterChange[]): void {
         this.forwardMessage({ type: "changes", changes: [...changes] });
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Creates the messages for a VM whose link has just opened. */
-    createGreeting(vm: string): PeerMessage[] {
+    createInitialMessages(vm: string): PeerMessage[] {
         const isWanted = this.followedVms.has(vm);
         return [
             ...(isWanted ? [this.createFollow(true)] : []),
@@ -188,12 +188,12 @@
             this.options.broadcast(this.createPositions());
         }
         else {
-            this.options.sendNear(this.createPositions());
+            this.options.sendToDataCentre(this.createPositions());
         }
     }
 
     private get entriesPauseMs(): number {
-        return this.options.entriesPauseMs ?? usualEntriesPauseMs;
+        return this.options.entriesPauseMs ?? defaultEntriesPauseMs;
     }
 
     private recordReader(reader: string): void {
@@ -229,8 +229,8 @@
     }
 
     private canRead(): boolean {
-        const { store, cluster, readStoreQuietMs } = this.options;
-        return store.isReading && cluster.isStoreReachable && readStoreQuietMs() <= maxStoreSilenceMs;
+        const { store, cluster, readStoreSilenceMs } = this.options;
+        return store.isReading && cluster.isStoreReachable && readStoreSilenceMs() <= maxStoreSilenceMs;
     }
 
     private isBehind(positions: ReadPositions): boolean {
--- a/packages/node/src/links/dispatcher.ts
+++ b/packages/node/src/links/dispatcher.ts
@@ -1,9 +1,9 @@
-import type { CrashReport, EngineNews } from "@radishreel/fleet";
+import type { CrashReport, EngineStatus } from "@radishreel/fleet";
 import type { AccountGuard } from "../accounts/index.js";
 import type { CrashGuard } from "../crashes/index.js";
-import type { DepartureSharing } from "../knowledge/departures.js";
+import type { LeavingUpstreamSharing } from "../knowledge/departures.js";
 import type { ChangeSharing } from "../knowledge/sharing.js";
-import type { Owning } from "../ownership/owning.js";
+import type { ShardOwnership } from "../ownership/owning.js";
 import type { ClusterChange } from "../ports.js";
 import type { Admissions } from "../requests/admissions.js";
 import type { PeerMessage } from "./messages.js";
@@ -13,15 +13,15 @@
 export interface PeerDispatcherOptions {
     readonly peers: Peers;
     readonly sharing: ChangeSharing;
-    readonly departures: DepartureSharing;
+    readonly departures: LeavingUpstreamSharing;
     readonly guard: CrashGuard;
     readonly accounts: AccountGuard;
     readonly admissions: Admissions;
     /** Undefined before this VM may lease shards. */
-    readonly readOwning: () => Owning | undefined;
+    readonly readOwnership: () => ShardOwnership | undefined;
     readonly onChanges: (vm: string, changes: readonly ClusterChange[]) => void;
     readonly onCrashReports: (reports: readonly CrashReport[]) => void;
-    readonly onNews: (vm: string, news: readonly EngineNews[]) => void;
+    readonly onStatuses: (vm: string, news: readonly EngineStatus[]) => void;
     /** Called when a VM announces that it is stopping. */
     readonly onLeaving: (vm: string) => void;
 }
@@ -32,8 +32,8 @@
 
     dispatch(vm: string, message: PeerMessage): void {
         const { peers, sharing, departures, guard, accounts, admissions } = this.options;
-        const { onChanges, onCrashReports, onNews, onLeaving } = this.options;
-        const ownership = this.options.readOwning();
+        const { onChanges, onCrashReports, onStatuses, onLeaving } = this.options;
+        const ownership = this.options.readOwnership();
         switch (message.type) {
             case "members":
                 message.members.forEach(member => peers.addPeer(member));
@@ -71,16 +71,16 @@
                 sharing.receiveFollow(vm, message.isWanted, message.positions);
                 return;
             case "news":
-                onNews(vm, message.news);
+                onStatuses(vm, message.news);
                 return;
             case "admission":
-                admissions.receiveAnswer(vm, message.answer);
+                admissions.receiveReply(vm, message.answer);
                 return;
             case "admit":
             case "begun":
             case "ended":
             case "runs":
-                ownership?.engines.receiveRequest(vm, message);
+                ownership?.engines.receiveAdmissionMessage(vm, message);
                 return;
             case "prepare":
             case "missing":
--- a/packages/node/src/links/hub.ts
+++ b/packages/node/src/links/hub.ts
@@ -12,17 +12,17 @@
  */
 const minOwnershipMs = 800;
 
-/** Options of {@link HubWatch}. */
-export interface HubWatchOptions {
+/** Options of {@link HubMonitor}. */
+export interface HubMonitorOptions {
     /** When the process started, in milliseconds. */
     readonly startedAt: number;
 }
 
 /** Determines whether a VM has owned engines long enough to be a hub: a VM linked to all others. */
-export class HubWatch {
+export class HubMonitor {
     private ownsSince: number | undefined;
 
-    constructor(private readonly options: HubWatchOptions) {}
+    constructor(private readonly options: HubMonitorOptions) {}
 
     /** @returns Whether the VM is to be linked to all others. */
     update(hasEngines: boolean, now: number): boolean {
--- a/packages/node/src/links/messages.ts
+++ b/packages/node/src/links/messages.ts
@@ -1,8 +1,8 @@
 import {
-    admissionAnswerSchema,
+    admissionReplySchema,
     admissionRequestSchema,
     crashReportSchema,
-    engineNewsSchema,
+    engineStatusSchema,
     upstreamSchema,
 } from "@radishreel/fleet";
 import { routingSchema } from "@radishreel/routing";
@@ -66,7 +66,7 @@
     /** Whether the sender wants every change that the receiver learns, with the positions that the sender has read. */
     z.object({ type: z.literal("follow"), isWanted: z.boolean(), positions: positionsSchema }),
     /** Statuses of engines that the sender owns. */
-    z.object({ type: z.literal("news"), news: z.array(engineNewsSchema) }),
+    z.object({ type: z.literal("news"), news: z.array(engineStatusSchema) }),
     /**
      * Upstreams whose responses announce that they are leaving. All current ones when a link opens, later new ones.
      */
@@ -74,7 +74,7 @@
     /** To the owner of an engine: a request of the sender requests admission. */
     z.object({ type: z.literal("admit"), engine: z.string(), request: admissionRequestSchema }),
     /** From the owner of an engine: the reply to a request for admission. */
-    z.object({ type: z.literal("admission"), answer: admissionAnswerSchema }),
+    z.object({ type: z.literal("admission"), answer: admissionReplySchema }),
     /** To the owner of an engine: the engine has read the prompt of a request. */
     z.object({ type: z.literal("begun"), engine: z.string(), ticket: z.number() }),
     /** To the owner of an engine: a request has finished, or no longer waits for admission. */
--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -35,7 +35,7 @@
     readonly onFrame: (direction: "sent" | "received", type: string) => void;
     readonly onBytes: (direction: "sent" | "received", count: number) => void;
     /** Creates the messages for a VM whose link has just opened. */
-    readonly createGreeting: (vm: string) => PeerMessage[];
+    readonly createInitialMessages: (vm: string) => PeerMessage[];
     readonly onMessage: (vm: string, message: PeerMessage) => void;
     /** Called when a link to a process that was not known before has opened. */
     readonly onStart: () => void;
@@ -218,7 +218,7 @@
      * Time since the last frame from any VM of another data centre, in milliseconds; undefined if none was ever linked.
      * The silence of a closed link counts from its close.
      */
-    readOthersQuietMs(): number | undefined {
+    readOtherDataCentresSilenceMs(): number | undefined {
         const { self, readTime } = this.options;
         const now = readTime();
         const opened = [...this.peersByAddress.values()]
@@ -234,7 +234,7 @@
     }
 
     /** Lists the connected VMs that can take over shards of this VM: those that are not stopping themselves. */
-    listHeirs(): string[] {
+    listHandoverTargets(): string[] {
         return this.listConnected().filter(vm => !this.leaving.has(vm));
     }
 
@@ -244,7 +244,7 @@
     }
 
     /** Counts the other VMs that may be running. */
-    countLikely(): number {
+    countMembers(): number {
         return this.members.count;
     }
 
@@ -253,7 +253,7 @@
     }
 
     /** Sends to the connected VMs of the own data centre, or to all connected VMs in a full mesh. */
-    sendNear(message: PeerMessage): void {
+    sendToDataCentre(message: PeerMessage): void {
         const { dataCentre } = this.options.self;
         const isIncluded = (vm: string): boolean => this.isMesh || this.findDataCentre(vm) === dataCentre;
         this.sendToAll(this.listConnected().filter(isIncluded), message);
@@ -349,7 +349,7 @@
     }
 
     private sendGreeting(link: Link<PeerMessage>): void {
-        for (const message of this.options.createGreeting(link.peer.id)) {
+        for (const message of this.options.createInitialMessages(link.peer.id)) {
             link.send(message);
         }
     }
--- a/packages/node/src/options.ts
+++ b/packages/node/src/options.ts
@@ -2,7 +2,7 @@
 import type { AccountBounds } from "./accounts/index.js";
 import type { BootClock } from "./clock.js";
 import type { LineSink } from "./decisions.js";
-import type { ClusterStore, EngineOrders, RequestDialect, ShardClaims } from "./ports.js";
+import type { ClusterStore, EngineOrders, RequestDialect, ShardAssigner } from "./ports.js";
 
 /** Settings of {@link NodeProgram}. */
 export interface NodeSettings {
@@ -23,7 +23,7 @@
     /** Bounds for client accounts. @default a key is accepted until this VM learns that the key was withdrawn */
     readonly accounts?: AccountBounds;
     /** Minimum time between orders of two holders of the same shard, in milliseconds. */
-    readonly turnMs: number;
+    readonly holderGapMs: number;
     /** Whether all VMs of the deployment start for the first time. @default false */
     readonly isFirstStart?: boolean;
     /** Time between the stop signal and the end of the process, in milliseconds. */
@@ -43,7 +43,7 @@
 export interface NodeOptions {
     readonly settings: NodeSettings;
     readonly store: ClusterStore;
-    readonly claims: ShardClaims;
+    readonly shardAssigner: ShardAssigner;
     readonly orders: EngineOrders;
     readonly dialect: RequestDialect;
     readonly sink: LineSink;
--- a/packages/node/src/ownership/engines.ts
+++ b/packages/node/src/ownership/engines.ts
@@ -1,14 +1,14 @@
 import {
-    type AdapterWant,
-    type AddressedAnswer,
-    type AdmissionAnswer,
+    type AddressedReply,
+    type AdmissionReply,
     EngineAdmission,
-    type EngineNews,
     type EngineOrder,
-    EnginePlaces,
+    EngineSlotPlanner,
+    type EngineStatus,
     type FleetView,
-    type OrderAnswer,
-    orderFlightMs,
+    type LoadRequest,
+    maxOrderTransitMs,
+    type OrderOutcome,
     type UpstreamState,
 } from "@radishreel/fleet";
 import type { Service } from "@radishreel/routing";
@@ -57,8 +57,8 @@
     readonly explainOrders?: (name: string) => object;
     /** @default the timers of this process */
     readonly timers?: Timers;
-    readonly sendNews: (news: EngineNews[]) => void;
-    readonly sendAnswer: (vm: string, answer: AdmissionAnswer) => void;
+    readonly sendStatuses: (news: EngineStatus[]) => void;
+    readonly sendReply: (vm: string, answer: AdmissionReply) => void;
     /** Called when a response of an engine announces that the engine is leaving. */
     readonly onLeaving?: ((engine: string) => void) | undefined;
     /** Counts the other VMs that may be running, connected or not. */
@@ -68,7 +68,7 @@
 interface OwnedEngine {
     readonly id: string;
     readonly name: string;
-    readonly planner: EnginePlaces;
+    readonly planner: EngineSlotPlanner;
     readonly admission: EngineAdmission;
     fence: number;
     revision: number;
@@ -89,7 +89,7 @@
 /** Statuses collected during an update of the owned engines, to be sent in one message. */
 interface PendingStatuses {
     readonly changed: Set<OwnedEngine>;
-    readonly released: EngineNews[];
+    readonly released: EngineStatus[];
 }
 
 /** The engines that this VM owns: it alone gives them orders, admits requests and reports their state to all VMs. */
@@ -112,7 +112,7 @@
         this.readBoot = options.readBoot ?? options.readTime;
     }
 
-    get hasAny(): boolean {
+    get hasEngines(): boolean {
         return this.engines.size > 0;
     }
 
@@ -139,7 +139,7 @@
         const stillOwned = [...pending.changed].filter(owned => this.engines.get(owned.id) === owned);
         const statuses = [...pending.released, ...this.listChanges(stillOwned)];
         if (statuses.length > 0) {
-            this.options.sendNews(statuses);
+            this.options.sendStatuses(statuses);
         }
     }
 
@@ -166,24 +166,24 @@
     }
 
     /** Handles a message about a request from the VM that serves it. */
-    receiveRequest(vm: string, message: AdmissionMessage): void {
+    receiveAdmissionMessage(vm: string, message: AdmissionMessage): void {
         const owned = this.engines.get(message.engine);
         if (owned === undefined) {
             if (message.type === "admit") {
-                this.options.sendAnswer(vm, { kind: "notOwned", ticket: message.request.ticket });
+                this.options.sendReply(vm, { kind: "notOwned", ticket: message.request.ticket });
             }
             return;
         }
         const now = this.options.readTime();
         switch (message.type) {
             case "admit":
-                this.options.sendAnswer(vm, this.admitRequest(owned, vm, message.request, now));
+                this.options.sendReply(vm, this.admitRequest(owned, vm, message.request, now));
                 break;
             case "begun":
-                owned.admission.begin(vm, message.ticket);
+                owned.admission.finishPrefill(vm, message.ticket);
                 return;
             case "ended":
-                owned.admission.end(vm, message.ticket, now);
+                owned.admission.finishRequest(vm, message.ticket, now);
                 break;
             case "runs":
                 if (!owned.admission.setRuns(vm, message.requests, now)) {
@@ -198,7 +198,7 @@
     /** Handles a message about an adapter that a request will need, or that an engine lacked. */
     receiveLoadMessage(message: Extract<PeerMessage, { type: "prepare" | "missing"; }>): void {
         if (message.type === "prepare") {
-            this.prepare(message.engine, message.want);
+            this.prepareAdapter(message.engine, message.want);
         }
         else {
             this.recordMissing(message.engine, message.key);
@@ -206,10 +206,10 @@
     }
 
     /** Requests the load of an adapter on an engine before requests for it arrive. */
-    prepare(engine: string, loadRequest: AdapterWant): void {
+    prepareAdapter(engine: string, loadRequest: LoadRequest): void {
         const owned = this.engines.get(engine);
         if (owned !== undefined) {
-            owned.planner.addWant(loadRequest, this.options.readTime());
+            owned.planner.addLoadRequest(loadRequest, this.options.readTime());
             this.advance(owned);
         }
     }
@@ -226,14 +226,14 @@
     updateVersion(key: string, version: number): void {
         for (const owned of this.engines.values()) {
             if (key in owned.planner.listHeld()) {
-                owned.planner.addWant({ key, version, runMs: 0, onTimeMs: 0 }, this.options.readTime());
+                owned.planner.addLoadRequest({ key, version, runMs: 0, onTimeMs: 0 }, this.options.readTime());
                 this.advance(owned);
             }
         }
     }
 
     /** Statuses of all owned engines, for a VM that has just connected. */
-    listNews(): EngineNews[] {
+    listStatuses(): EngineStatus[] {
         return [...this.engines.values()].map(owned => this.createStatus(owned));
     }
 
@@ -242,20 +242,20 @@
         vm: string,
         request: Extract<AdmissionMessage, { type: "admit"; }>["request"],
         now: number,
-    ): AdmissionAnswer {
+    ): AdmissionReply {
         if (!this.options.view.isUsable(owned.id)) {
             return { kind: "declined", ticket: request.ticket, expectedMs: leavingExpectedMs };
         }
         if (!owned.planner.isReachable) {
             return { kind: "declined", ticket: request.ticket, expectedMs: unusableExpectedMs };
         }
-        const reply = owned.admission.ask(vm, request, now);
+        const reply = owned.admission.handleRequest(vm, request, now);
         this.recordFirstAdmission(owned, [reply], now);
         return reply;
     }
 
     /** Logs the first admitted request of an engine. */
-    private recordFirstAdmission(owned: OwnedEngine, replies: readonly AdmissionAnswer[], now: number): void {
+    private recordFirstAdmission(owned: OwnedEngine, replies: readonly AdmissionReply[], now: number): void {
         if (!owned.hasAdmitted && replies.some(({ kind }) => kind === "admitted")) {
             owned.hasAdmitted = true;
             const sinceClaimedMs = Math.round(now - owned.ownedSince);
@@ -278,10 +278,10 @@
 
     private add(state: UpstreamState): void {
         const { id, name, models, sequence } = state.upstream;
-        const planner = new EnginePlaces({
+        const planner = new EngineSlotPlanner({
             limits: this.options.findService(state.upstream.service)!.engine!,
             models,
-            held: state.news?.held ?? {},
+            held: state.status?.held ?? {},
             warm: state.warm.list(),
             sequence,
             now: this.options.readTime(),
@@ -293,7 +293,7 @@
             planner,
             admission: new EngineAdmission({
                 engine: id,
-                places: planner,
+                planner,
                 mayUse: (key, held, oldest) => this.mayUse(key, held, oldest),
             }),
             fence: this.options.readFence(name),
@@ -340,16 +340,16 @@
         owned.revision += 1;
         const status = { ...this.createStatus(owned), isOwned: false, canOrder: false };
         if (this.pendingStatuses === undefined) {
-            this.options.sendNews([status]);
+            this.options.sendStatuses([status]);
         }
         else {
             this.pendingStatuses.released.push(status);
         }
     }
 
-    private sendReplies(replies: readonly AddressedAnswer[]): void {
+    private sendReplies(replies: readonly AddressedReply[]): void {
         for (const { vm, answer } of replies) {
-            this.options.sendAnswer(vm, answer);
+            this.options.sendReply(vm, answer);
         }
     }
 
@@ -448,7 +448,7 @@
         const outcome = await sending;
         owned.isOrdering = false;
         const now = this.options.readTime();
-        owned.planner.applyAnswer(order, outcome, now);
+        owned.planner.applyOutcome(order, outcome, now);
         this.options.log.record("order", {
             engine: owned.id,
             action: order.action,
@@ -457,14 +457,14 @@
             sequence: order.expectedSequence,
             fence: owned.fence,
             answer: outcome,
-            places: owned.planner.countPlaces(now, key => owned.admission.countUses(key)),
+            places: owned.planner.countSlots(now, key => owned.admission.countUses(key)),
             waiting: owned.admission.waitingCount,
             ms: Math.round(now - sentAt),
         });
         this.finishStep(owned, wasReachable);
     }
 
-    private recordOrderInFlight(name: string, sending: Promise<OrderAnswer>): void {
+    private recordOrderInFlight(name: string, sending: Promise<OrderOutcome>): void {
         const end = this.waitArrival(sending).finally(() => this.ordersInFlight.delete(end));
         this.ordersInFlight.set(end, name);
     }
@@ -473,9 +473,9 @@
      * Waits until an order has arrived at its engine or cannot arrive any more. An order whose outcome is unknown may
      * arrive late; the time of its write is unknown as well, since its connection was opened first.
      */
-    private async waitArrival(sending: Promise<OrderAnswer>): Promise<void> {
+    private async waitArrival(sending: Promise<OrderOutcome>): Promise<void> {
         if (await sending === "unknown") {
-            await new Promise<void>(resolve => this.timers.scheduleOnce(resolve, orderFlightMs));
+            await new Promise<void>(resolve => this.timers.scheduleOnce(resolve, maxOrderTransitMs));
         }
     }
 
@@ -489,7 +489,7 @@
         this.advance(owned);
     }
 
-    private createStatus(owned: OwnedEngine): EngineNews {
+    private createStatus(owned: OwnedEngine): EngineStatus {
         const { planner, admission } = owned;
         return {
             engine: owned.id,
@@ -499,8 +499,8 @@
             canOrder: owned.canOrder && planner.isReachable,
             isReachable: planner.isReachable,
             held: planner.listHeld(),
-            coming: planner.listComing(),
-            waitMs: Math.round(admission.readNextTurnMs(this.options.readTime())),
+            coming: planner.listLoading(),
+            waitMs: Math.round(admission.readNextLoadWaitMs(this.options.readTime())),
             coldLoadMs: Math.round(planner.readLoadMs(false)),
             warmLoadMs: Math.round(planner.readLoadMs(true)),
             load: { ...admission.load },
@@ -530,13 +530,13 @@
         }
         const changed = this.listChanges(engines);
         if (changed.length > 0) {
-            this.options.sendNews(changed);
+            this.options.sendStatuses(changed);
         }
     }
 
     /** Lists the statuses that have changed since the last call, and records them as sent. */
-    private listChanges(engines: readonly OwnedEngine[]): EngineNews[] {
-        const changed: EngineNews[] = [];
+    private listChanges(engines: readonly OwnedEngine[]): EngineStatus[] {
+        const changed: EngineStatus[] = [];
         for (const owned of engines) {
             const status = this.createStatus(owned);
             const text = JSON.stringify({ ...status, revision: 0 });
--- a/packages/node/src/ownership/owning.ts
+++ b/packages/node/src/ownership/owning.ts
@@ -1,6 +1,6 @@
-import { ClaimClock, type ClaimReason, readShard } from "@radishreel/fleet";
+import { type LeaseReason, readShard, ShardLeases } from "@radishreel/fleet";
 import { BootClock, processTimers, type ScheduledRun, type Timers } from "../clock.js";
-import type { Member, ShardClaims } from "../ports.js";
+import type { Member, ShardAssigner } from "../ports.js";
 import { OwnedEngines, type OwnedEnginesOptions } from "./engines.js";
 
 /** Interval of lease renewals, in milliseconds: two renewals may be lost before a lease expires. */
@@ -60,26 +60,26 @@
 type ReleaseReason = "stop" | "renewal" | "toldByPeer";
 
 /** Counted events of shard leases. */
-export type ClaimEvent =
+export type LeaseEvent =
     | "releaseSent"
     | "releaseUsed"
     | "releaseUnused"
     | "prolongedByWitness"
     | "prolongedByAllClear"
-    | `${ClaimReason}Claim`;
+    | `${LeaseReason}Claim`;
 
-/** Options of owned engines that {@link Owning} sets itself. */
+/** Options of owned engines that {@link ShardOwnership} sets itself. */
 type InternalOption = "mayOrder" | "readFence" | "explainOrders" | "readBoot";
 
-/** Options of {@link Owning}. */
-export interface OwningOptions extends Omit<OwnedEnginesOptions, InternalOption> {
-    readonly claims: ShardClaims;
+/** Options of {@link ShardOwnership}. */
+export interface ShardOwnershipOptions extends Omit<OwnedEnginesOptions, InternalOption> {
+    readonly shardAssigner: ShardAssigner;
     /** Start time of this process in milliseconds; distinguishes it from other processes of the same VM. */
     readonly incarnation: number;
     /** Incarnation of the newest known process of a VM. */
     readonly readIncarnation: (vm: string) => number | undefined;
     /** Minimum time between orders of two holders of one engine, in milliseconds. */
-    readonly turnMs: number;
+    readonly holderGapMs: number;
     readonly sendRelease: (shards: number[], generation: number) => void;
     readonly sendQuery: (query: LeaseQuery) => void;
     /** Hands shards over to one other VM. @returns Whether a VM was available. */
@@ -87,7 +87,7 @@
     /** Stores the generation in which this VM gives orders, for its next start. */
     readonly recordGeneration: (generation: number) => void;
     /** Counts events of shard leases. */
-    readonly onClaimEvent?: (event: ClaimEvent) => void;
+    readonly onLeaseEvent?: (event: LeaseEvent) => void;
     /** @default a clock of this process */
     readonly bootClock?: BootClock;
 }
@@ -147,9 +147,9 @@
 /**
  * Determines which engines this VM owns: leases their shards, extends the leases during store outages, hands them over.
  */
-export class Owning {
+export class ShardOwnership {
     readonly engines: OwnedEngines;
-    private readonly leases: ClaimClock;
+    private readonly leases: ShardLeases;
     private readonly timers: Timers;
     private renewTimer: ScheduledRun | undefined;
     private isRenewing = false;
@@ -177,14 +177,14 @@
     private recordedGeneration = -1;
     private renewalCount = 0;
 
-    constructor(private readonly options: OwningOptions) {
+    constructor(private readonly options: ShardOwnershipOptions) {
         this.bootClock = options.bootClock ?? new BootClock();
         this.timers = options.timers ?? processTimers;
         this.openQuery = this.createQuery(options.incarnation * queriesPerIncarnation);
-        this.leases = new ClaimClock({
-            useMs: leaseMs,
-            settleMs: leaseSafetyMarginMs,
-            turnMs: options.turnMs,
+        this.leases = new ShardLeases({
+            leaseMs,
+            safetyMarginMs: leaseSafetyMarginMs,
+            holderGapMs: options.holderGapMs,
             startedAt: this.bootClock.read(),
         });
         this.engines = new OwnedEngines({
@@ -204,7 +204,7 @@
      */
     start(previousEntry: Member | undefined): void {
         if (previousEntry === undefined) {
-            this.leases.setFirstLife();
+            this.leases.setFirstProcess();
             this.isStartConfirmed = true;
         }
         else {
@@ -213,7 +213,7 @@
         if (previousEntry?.generation !== undefined) {
             this.leases.setRecordedGeneration(previousEntry.generation, this.bootClock.read());
         }
-        const waitMs = previousEntry?.hasLeft === true ? this.options.turnMs : 0;
+        const waitMs = previousEntry?.hasLeft === true ? this.options.holderGapMs : 0;
         this.renewTimer = this.timers.scheduleOnce(() => {
             this.hasStarted = true;
             void this.renew();
@@ -237,7 +237,7 @@
             return;
         }
         this.isStartConfirmed = true;
-        this.leases.recordStartHeard(this.bootClock.read(), this.wasTakenOver);
+        this.leases.recordStartKnown(this.bootClock.read(), this.wasTakenOver);
         this.options.log.recordImportant("startConfirmed", {
             heardBy: this.startKnownBy.size,
             others: this.options.countOthers(),
@@ -261,8 +261,8 @@
         const now = this.bootClock.read();
         const releasableShards = this.leases.listReleasable(now);
         const usableShards = this.leases.listUsable(now);
-        const generation = this.leases.deal;
-        const handoverDepth = 1 + Math.max(0, ...usableShards.map(shard => this.leases.readDepth(shard)));
+        const generation = this.leases.currentGeneration;
+        const handoverDepth = 1 + Math.max(0, ...usableShards.map(shard => this.leases.readHandoverDepth(shard)));
         const handover: Handover = {
             shards: usableShards,
             deal: generation,
@@ -279,7 +279,7 @@
         // The release is sent only after this VM has left the group. Until then the VM may restart and give orders in
         // the same generation; the next holder would trust the earlier release and not wait for these orders.
         await this.waitRenewal();
-        if (await this.options.claims.release()) {
+        if (await this.options.shardAssigner.release()) {
             await this.sendRelease(releasableShards, generation, "stop");
         }
         else if (!isCutOff) {
@@ -306,7 +306,11 @@
             return;
         }
         const isOld = this.hasAnyRestarted(handover.givers);
-        this.options.log.recordImportant("handoverReceived", { ...handover, ownDeal: this.leases.deal, isOld });
+        this.options.log.recordImportant("handoverReceived", {
+            ...handover,
+            ownDeal: this.leases.currentGeneration,
+            isOld,
+        });
         if (isOld) {
             return;
         }
@@ -336,8 +340,14 @@
     recordRelease(vm: string, shards: readonly number[], generation: number): void {
         const now = this.bootClock.read();
         const shortened = shards.filter(shard => this.leases.recordRelease(shard, generation, now));
-        this.options.onClaimEvent?.(shortened.length > 0 ? "releaseUsed" : "releaseUnused");
-        this.options.log.record("releaseTaken", { vm, shards, generation, ownDeal: this.leases.deal, shortened });
+        this.options.onLeaseEvent?.(shortened.length > 0 ? "releaseUsed" : "releaseUnused");
+        this.options.log.record("releaseTaken", {
+            vm,
+            shards,
+            generation,
+            ownDeal: this.leases.currentGeneration,
+            shortened,
+        });
         this.update();
     }
 
@@ -347,20 +357,20 @@
             return;
         }
         const shards = new Set(this.leases.listShards());
-        if (shards.size === 0 && !this.engines.hasAny) {
+        if (shards.size === 0 && !this.engines.hasEngines) {
             return;
         }
         this.engines.update(name => shards.has(this.findShard(name)));
     }
 
     private findShard(name: string): number {
-        return readShard(name, this.options.claims.shardCount);
+        return readShard(name, this.options.shardAssigner.shardCount);
     }
 
     private explainOrders(name: string): object {
-        const lease = this.leases.explainClaim(this.findShard(name));
+        const lease = this.leases.explainLease(this.findShard(name));
         if (lease !== undefined) {
-            this.options.onClaimEvent?.(`${lease.reason}Claim`);
+            this.options.onLeaseEvent?.(`${lease.reason}Claim`);
         }
         return { ...lease, renewalAgeMs: Math.round(this.renewalAgeMs) };
     }
@@ -374,7 +384,7 @@
             return;
         }
         await this.waitOrders(shards);
-        this.options.onClaimEvent?.("releaseSent");
+        this.options.onLeaseEvent?.("releaseSent");
         this.options.log.recordImportant("releaseSent", { shards, generation, why });
         this.options.sendRelease(shards, generation);
     }
@@ -442,15 +452,15 @@
      */
     readLeaseState(vm: string, { query, givers, newestDeal }: LeaseQuery): LeaseState {
         const now = this.bootClock.read();
-        this.leases.recordDeal(newestDeal);
+        this.leases.recordGeneration(newestDeal);
         this.recordTakeovers(givers, now);
         if (this.hasStarted && this.renewalAgeMs > peerQueryAfterMs) {
             void this.renew();
         }
         return {
             query,
-            generation: this.leases.deal,
-            newestDeal: this.leases.newestDeal,
+            generation: this.leases.currentGeneration,
+            newestDeal: this.leases.newestGeneration,
             shards: this.leases.listShards(),
             renewalAgeMs: this.renewalAgeMs,
             isCutOff: this.isCutOff,
@@ -468,7 +478,11 @@
         if (revoked.length > 0) {
             this.options.log.recordImportant("shardsLost", { to: vm, shards: revoked, generation: state.generation });
             this.update();
-            void this.sendRelease(revoked.filter(shard => releasable.includes(shard)), this.leases.deal, "toldByPeer");
+            void this.sendRelease(
+                revoked.filter(shard => releasable.includes(shard)),
+                this.leases.currentGeneration,
+                "toldByPeer",
+            );
         }
         if (state.query > this.options.incarnation * queriesPerIncarnation && state.query <= openQuery.query) {
             this.startKnownBy.add(vm);
@@ -487,16 +501,19 @@
         if (this.leases.hasHandovers && this.isMajority(openQuery.sourcesGoneBy)) {
             this.leases.renewHandovers(openQuery.askedAt);
         }
-        const witnessExtensionMs = this.leases.applyWitness(state.generation, openQuery.askedAt - state.renewalAgeMs);
+        const witnessExtensionMs = this.leases.applyPeerRenewal(
+            state.generation,
+            openQuery.askedAt - state.renewalAgeMs,
+        );
         this.recordExtension("prolongedByWitness", witnessExtensionMs, { vm, renewalAgeMs: state.renewalAgeMs });
-        this.leases.recordDeal(state.newestDeal);
+        this.leases.recordGeneration(state.newestDeal);
         const held = this.leases.listShards();
         if (state.isCutOff && !state.shards.some(shard => held.includes(shard))) {
             openQuery.clearedBy.add(vm);
         }
         // If most VMs are cut off from the store, the store itself is unreachable and reassigns no shards.
         if (this.isMajority(openQuery.clearedBy)) {
-            const clearExtensionMs = this.leases.applyAllClear(openQuery.askedAt);
+            const clearExtensionMs = this.leases.applyStoreOutage(openQuery.askedAt);
             this.recordExtension("prolongedByAllClear", clearExtensionMs, { clear: [...openQuery.clearedBy] });
         }
     }
@@ -507,11 +524,11 @@
         detail: object,
     ): void {
         if (extensionMs > 0) {
-            this.options.onClaimEvent?.(by);
+            this.options.onLeaseEvent?.(by);
             this.options.log.record("claimsProlonged", {
                 by,
                 ms: Math.round(extensionMs),
-                deal: this.leases.deal,
+                deal: this.leases.currentGeneration,
                 ...detail,
             });
         }
@@ -533,7 +550,7 @@
             });
         }
         this.checkStartConfirmed();
-        const isStartUnconfirmed = this.leases.isHeldBack(now);
+        const isStartUnconfirmed = this.leases.isStartPending(now);
         this.unusableSince = isStartUnconfirmed ? this.unusableSince ?? now : undefined;
         if (now - (this.unusableSince ?? now) > unconfirmedStartMs) {
             this.unusableSince = now;
@@ -542,9 +559,9 @@
         if (isLeaseUncertain || this.leases.hasHandovers || isStartUnconfirmed) {
             this.sendQuery(now);
         }
-        if (this.leases.isSettled(now) && this.leases.deal !== this.recordedGeneration) {
-            this.recordedGeneration = this.leases.deal;
-            this.options.recordGeneration(this.leases.deal);
+        if (this.leases.canOrderAll(now) && this.leases.currentGeneration !== this.recordedGeneration) {
+            this.recordedGeneration = this.leases.currentGeneration;
+            this.options.recordGeneration(this.leases.currentGeneration);
         }
     }
 
@@ -555,10 +572,10 @@
      */
     private async renewAssignment(): Promise<void> {
         await this.waitRenewal();
-        const hasLeft = await this.options.claims.release();
+        const hasLeft = await this.options.shardAssigner.release();
         this.options.log.recordImportant("firstDealLeft", {
             hasLeft,
-            deal: this.leases.deal,
+            deal: this.leases.currentGeneration,
             heardBy: this.startKnownBy.size,
         });
         void this.renew();
@@ -572,7 +589,11 @@
         this.openQuery = { ...this.createQuery(this.openQuery.query + 1), askedAt: now };
         const [, ...sources] = this.listHandoverSources();
         this.recordTakeovers(sources, now);
-        this.options.sendQuery({ query: this.openQuery.query, newestDeal: this.leases.newestDeal, givers: sources });
+        this.options.sendQuery({
+            query: this.openQuery.query,
+            newestDeal: this.leases.newestGeneration,
+            givers: sources,
+        });
     }
 
     private renew(): Promise<void> {
@@ -599,17 +620,17 @@
         const sentAt = this.bootClock.read();
         this.attemptedAt = sentAt;
         this.unansweredSince ??= sentAt;
-        const assignment = await this.options.claims.renew(this.leases.deal);
+        const assignment = await this.options.shardAssigner.renew(this.leases.currentGeneration);
         this.isRenewing = false;
         if (assignment === undefined || this.isStopped) {
             return;
         }
         this.unansweredSince = undefined;
-        if (assignment.generation !== this.leases.deal) {
+        if (assignment.generation !== this.leases.currentGeneration) {
             this.options.log.recordImportant("shardsDealt", assignment);
         }
         const held = this.leases.listReleasable(this.bootClock.read());
-        const previousGeneration = this.leases.deal;
+        const previousGeneration = this.leases.currentGeneration;
         this.renewedAt = sentAt;
         if (!this.leases.applyRenewal(assignment.generation, assignment.shards, sentAt, this.bootClock.read())) {
             return;
--- a/packages/node/src/ports.ts
+++ b/packages/node/src/ports.ts
@@ -1,4 +1,4 @@
-import type { CrashReport, EngineOrder, EngineReport, ModelDemand, OrderAnswer, Upstream } from "@radishreel/fleet";
+import type { CrashReport, EngineOrder, EngineReport, ModelDemand, OrderOutcome, Upstream } from "@radishreel/fleet";
 import type { Routing } from "@radishreel/routing";
 import type { Result } from "neverthrow";
 
@@ -55,7 +55,7 @@
 }
 
 /** Status and headers of an upstream's response, parsed. */
-export interface AnswerHead {
+export interface ResponseHead {
     /** Identifier of the request that the response belongs to. */
     readonly requestId: string | undefined;
     /** Whether the upstream states that it did not run the request. */
@@ -77,9 +77,9 @@
     parseDemand(headers: RawHeaders): CallerDemand;
     /** Creates the headers for an upstream: those of the caller and those that this program sets. */
     createHeaders(headers: RawHeaders, options: SendOptions): string[];
-    parseAnswer(status: number, headers: RawHeaders): AnswerHead;
+    parseResponse(status: number, headers: RawHeaders): ResponseHead;
     /** Lists the headers of a response that are passed on to the caller: all but the hop-by-hop headers. */
-    listAnswerHeaders(headers: RawHeaders): string[];
+    listResponseHeaders(headers: RawHeaders): string[];
 }
 
 /** Conditions under which an order may be sent. */
@@ -95,7 +95,7 @@
 
 /** Sends orders to engines. `onLeaving` is called if the response of an engine announces that it is leaving. */
 export interface EngineOrders {
-    send(upstream: Upstream, order: EngineOrder, guard: OrderGuard, onLeaving?: () => void): Promise<OrderAnswer>;
+    send(upstream: Upstream, order: EngineOrder, guard: OrderGuard, onLeaving?: () => void): Promise<OrderOutcome>;
     readReport(upstream: Upstream, onLeaving?: () => void): Promise<Result<EngineReport, ReportFailure>>;
 }
 
@@ -176,16 +176,16 @@
 }
 
 /** The shards that are assigned to a VM, and the generation of the assignment. */
-export interface ShardDeal {
+export interface ShardAssignment {
     readonly generation: number;
     readonly shards: readonly number[];
 }
 
 /** Assigns shards of engines to VMs. */
-export interface ShardClaims {
+export interface ShardAssigner {
     readonly shardCount: number;
     /** Joins the group or renews the membership. @returns Undefined if there was no response. */
-    renew(generation: number): Promise<ShardDeal | undefined>;
+    renew(generation: number): Promise<ShardAssignment | undefined>;
     /** Leaves the group and releases all shards. @returns Whether the store confirmed that the assignment is over. */
     release(): Promise<boolean>;
 }
--- a/packages/node/src/program.ts
+++ b/packages/node/src/program.ts
@@ -1,4 +1,4 @@
-import { type AdmissionAnswer, type CrashReport, type EngineNews, FleetView } from "@radishreel/fleet";
+import { type AdmissionReply, type CrashReport, type EngineStatus, FleetView } from "@radishreel/fleet";
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import { setTimeout as wait } from "node:timers/promises";
@@ -8,18 +8,18 @@
 import { CrashGuard } from "./crashes/index.js";
 import { DecisionLog } from "./decisions.js";
 import { ClusterState } from "./knowledge/cluster.js";
-import { DepartureSharing } from "./knowledge/departures.js";
+import { LeavingUpstreamSharing } from "./knowledge/departures.js";
 import { IsolationMonitor } from "./knowledge/isolation.js";
 import { ChangeSharing } from "./knowledge/sharing.js";
 import { programMachine } from "./life.js";
 import { PeerDispatcher } from "./links/dispatcher.js";
-import { HubWatch } from "./links/hub.js";
+import { HubMonitor } from "./links/hub.js";
 import type { PeerMessage } from "./links/messages.js";
 import { Peers } from "./links/peers.js";
 import { formatAddress, startCallerListener, startReadinessListener } from "./listeners.js";
 import { NodeMetrics } from "./metrics.js";
 import { defaultAccountBounds, type NodeOptions } from "./options.js";
-import { type Handover, Owning } from "./ownership/owning.js";
+import { type Handover, ShardOwnership } from "./ownership/owning.js";
 import type { ClusterChange, ClusterReceiver, Member, UnreadableRecord } from "./ports.js";
 import { OverloadMonitor } from "./pressure.js";
 import { type AdmissionMessage, Admissions } from "./requests/admissions.js";
@@ -60,7 +60,7 @@
     private readonly metrics = new NodeMetrics();
     private readonly view: FleetView;
     private readonly cluster: ClusterState;
-    private readonly leavingUpstreams: DepartureSharing;
+    private readonly leavingUpstreams: LeavingUpstreamSharing;
     private readonly pool = new ConnectionPool(() => this.overloadMonitor.recordWork("upstream connection"));
     private readonly crashGuard: CrashGuard;
     private readonly serving: Serving;
@@ -71,7 +71,7 @@
     private readonly budgets: RetryBudgets;
     private readonly changeSharing: ChangeSharing;
     private readonly isolationMonitor = new IsolationMonitor();
-    private readonly hubMonitor = new HubWatch({ startedAt: readNow() });
+    private readonly hubMonitor = new HubMonitor({ startedAt: readNow() });
     private readonly overloadMonitor: OverloadMonitor;
     private readonly admissions: Admissions;
     private readonly bootClock: BootClock;
@@ -79,7 +79,7 @@
     /** Distinguishes this process from other processes of the same VM. */
     private readonly incarnation = Date.now();
     private readonly dispatcher: PeerDispatcher;
-    private ownership: Owning | undefined;
+    private ownership: ShardOwnership | undefined;
     private previousMember: Member | undefined;
     private hasReadMembers = false;
     private stopping: Promise<void> | undefined;
@@ -111,7 +111,7 @@
             onVersion: () => this.serving.receiveVersion(),
             onMember: member => this.receiveMember(member),
         });
-        this.leavingUpstreams = new DepartureSharing({
+        this.leavingUpstreams = new LeavingUpstreamSharing({
             view: this.view,
             log: this.log,
             readTime: readNow,
@@ -132,9 +132,9 @@
             readTime: readNow,
             send: (vm, message) => this.peers.send(vm, message),
             broadcast: message => this.peers.broadcast(message),
-            sendNear: message => this.peers.sendNear(message),
+            sendToDataCentre: message => this.peers.sendToDataCentre(message),
             listLinked: () => this.peers.listConnected(),
-            readStoreQuietMs: () => this.ownership?.renewalAgeMs ?? 0,
+            readStoreSilenceMs: () => this.ownership?.renewalAgeMs ?? 0,
             listCrashReports: () => this.crashGuard.listReports(),
             entriesPauseMs: settings.entriesPauseMs,
         });
@@ -166,12 +166,12 @@
     }
 
     /** Counts the upstreams of a service that may get new requests. */
-    countUsable(service: string): number {
+    countUsableUpstreams(service: string): number {
         return this.view.listUsable(service).length;
     }
 
     /** Counts the requests that this VM suspects because upstream processes recently ended while running them. */
-    countSuspects(): number {
+    countSuspectRequests(): number {
         return this.crashGuard.requestCount;
     }
 
@@ -181,7 +181,7 @@
     }
 
     /** Counts the requests whose response is not complete yet. */
-    countOpen(): number {
+    countOpenRequests(): number {
         return this.serving.openCount;
     }
 
@@ -244,7 +244,7 @@
         if (newChanges.length === 0) {
             return;
         }
-        this.changeSharing.passChanges(newChanges);
+        this.changeSharing.forwardChanges(newChanges);
         this.receiveVersions(newChanges);
     }
 
@@ -319,7 +319,7 @@
             view: this.view,
             cluster: this.cluster,
             budgets: service => this.budgets.read(service),
-            countVms: () => Math.max(minAssumedVms, this.peers.countLikely() + 1),
+            countVms: () => Math.max(minAssumedVms, this.peers.countMembers() + 1),
             dialect,
             pool: this.pool,
             log: this.log,
@@ -331,8 +331,8 @@
             isLinked: vm => vm === settings.vm || this.peers.isConnected(vm),
             sendPreparation: ({ engine, want }) => this.sendToOwner(engine, { type: "prepare", engine, want }),
             sendMissing: (engine, key) => this.sendToOwner(engine, { type: "missing", engine, key }),
-            onLeaving: upstream => this.leavingUpstreams.recordAnswer(upstream),
-            onRest: () => this.metrics.recordBackoff(),
+            onLeaving: upstream => this.leavingUpstreams.recordResponse(upstream),
+            onBackoff: () => this.metrics.recordBackoff(),
             onRefusal: reason => this.metrics.recordRefusal(reason),
             onRetry: after => this.metrics.recordRetry(after),
             onChoice: () => this.recordChoice(),
@@ -352,7 +352,7 @@
             readTime: readNow,
             send: (vm, message) => this.sendToVm(vm, message),
             broadcast: message => this.peers.broadcast(message),
-            listReferees: () => this.listCoordinators(),
+            listPermitIssuers: () => this.listCoordinators(),
             onChange: () => this.serving.receiveChange(),
             onUpstreamEnd: service => this.metrics.recordUpstreamEnd(service),
         });
@@ -368,7 +368,7 @@
             isReading: () => store.isReading,
             listConfirmers: () => this.changeSharing.listConfirmers(),
             listCoordinators: () => this.listCoordinators().filter(vm => this.admissions.isResponsive(vm)),
-            countVms: () => this.peers.countLikely() + 1,
+            countVms: () => this.peers.countMembers() + 1,
             send: (vm, message) => this.peers.send(vm, message),
             onVerdict: (account, verdict) => this.metrics.recordAccountRequest(account, verdict),
         });
@@ -379,7 +379,7 @@
      * engines, to which all VMs are linked.
      */
     private listCoordinators(): string[] {
-        const known = [this.options.settings.vm, ...this.peers.listHeirs()];
+        const known = [this.options.settings.vm, ...this.peers.listHandoverTargets()];
         if (this.peers.isMesh) {
             return known;
         }
@@ -404,7 +404,7 @@
             readTime: readNow,
             onFrame: (direction, type) => this.recordFrame(direction, type),
             onBytes: (direction, count) => this.metrics.recordBytes(direction, count),
-            createGreeting: vm => this.createGreeting(vm),
+            createInitialMessages: vm => this.createInitialMessages(vm),
             onMessage: (vm, message) => this.receivePeerMessage(vm, message),
             onStart: () => this.ownership?.receiveStart(),
             onClose: vm => this.receivePeerClose(vm),
@@ -427,37 +427,37 @@
             guard,
             accounts,
             admissions,
-            readOwning: () => this.ownership,
+            readOwnership: () => this.ownership,
             onChanges: (vm, changes) => this.receiveChanges(changes, vm),
             onCrashReports: reports => this.receiveCrashReports(reports),
-            onNews: (vm, statuses) => this.receiveEngineStatuses(vm, statuses),
+            onStatuses: (vm, statuses) => this.receiveEngineStatuses(vm, statuses),
             onLeaving: vm => this.receivePeerClose(vm),
         });
     }
 
-    private createOwnership(): Owning {
-        const { settings, claims, orders } = this.options;
-        return new Owning({
+    private createOwnership(): ShardOwnership {
+        const { settings, shardAssigner, orders } = this.options;
+        return new ShardOwnership({
             vm: settings.vm,
             view: this.view,
-            claims,
+            shardAssigner,
             orders,
             log: this.log,
             readTime: readNow,
-            turnMs: settings.turnMs,
+            holderGapMs: settings.holderGapMs,
             findService: name => this.cluster.routes?.findService(name),
-            sendNews: statuses => this.sendEngineStatuses(statuses),
-            sendAnswer: (vm, reply) => this.sendAdmissionReply(vm, reply),
-            onLeaving: engine => this.leavingUpstreams.recordAnswer(engine),
+            sendStatuses: statuses => this.sendEngineStatuses(statuses),
+            sendReply: (vm, reply) => this.sendAdmissionReply(vm, reply),
+            onLeaving: engine => this.leavingUpstreams.recordResponse(engine),
             sendRelease: (shards, generation) => this.peers.broadcast({ type: "release", shards, generation }),
             sendQuery: query => this.peers.broadcast({ type: "claimQuery", ...query, givers: [...query.givers] }),
             incarnation: this.incarnation,
             bootClock: this.bootClock,
             readIncarnation: vm => this.peers.findIncarnation(vm),
             sendHandover: handover => this.sendHandover(handover),
-            countOthers: () => this.peers.countLikely(),
+            countOthers: () => this.peers.countMembers(),
             recordGeneration: generation => this.appendMember({ generation }),
-            onClaimEvent: event => this.metrics.recordLeaseEvent(event),
+            onLeaseEvent: event => this.metrics.recordLeaseEvent(event),
         });
     }
 
@@ -479,19 +479,19 @@
 
     private handleCaller(caller: CallerExchange): void {
         if (this.stopping !== undefined || this.isolationMonitor.isIsolated) {
-            caller.closeAfterAnswer();
+            caller.closeAfterResponse();
         }
         this.overloadMonitor.recordWork("request");
         void this.serving.handle(caller).finally(() => this.overloadMonitor.recordResponse(caller));
     }
 
-    private createGreeting(vm: string): PeerMessage[] {
+    private createInitialMessages(vm: string): PeerMessage[] {
         this.overloadMonitor.recordWork("link opened");
         return [
-            ...this.changeSharing.createGreeting(vm),
-            ...this.leavingUpstreams.createGreeting(),
-            { type: "news", news: this.ownership?.engines.listNews() ?? [] },
-            ...this.crashGuard.createGreeting(),
+            ...this.changeSharing.createInitialMessages(vm),
+            ...this.leavingUpstreams.createInitialMessages(),
+            { type: "news", news: this.ownership?.engines.listStatuses() ?? [] },
+            ...this.crashGuard.createInitialMessages(),
             ...this.listEnginesOwnedBy(vm).map(engine => this.admissions.createRuns(engine, vm)),
             ...(this.stopping === undefined ? [] : [{ type: "leaving" } as const]),
         ];
@@ -503,22 +503,22 @@
     }
 
     private receivePeerMessage(vm: string, message: PeerMessage): void {
-        this.admissions.recordHeard(vm);
+        this.admissions.recordContact(vm);
         this.dispatcher.dispatch(vm, message);
     }
 
-    private receiveEngineStatuses(vm: string, statuses: readonly EngineNews[]): void {
+    private receiveEngineStatuses(vm: string, statuses: readonly EngineStatus[]): void {
         for (const status of statuses) {
             const before = this.view.findUpstream(status.engine);
-            const known = { owner: before?.owner, fence: before?.news?.fence };
-            if (this.view.updateNews(vm, status, readNow()) && status.isOwned) {
+            const known = { owner: before?.owner, fence: before?.status?.fence };
+            if (this.view.updateStatus(vm, status, readNow()) && status.isOwned) {
                 const isNewOwner = known.owner !== vm || known.fence !== status.fence;
                 if (isNewOwner) {
                     this.admissions.updateOwner(status.engine, vm);
                 }
             }
         }
-        this.serving.receiveNews();
+        this.serving.receiveEngineStatus();
     }
 
     private receivePeerClose(vm: string): void {
@@ -531,7 +531,7 @@
         this.serving.receiveChange();
     }
 
-    private sendEngineStatuses(statuses: EngineNews[]): void {
+    private sendEngineStatuses(statuses: EngineStatus[]): void {
         this.receiveEngineStatuses(this.options.settings.vm, statuses);
         this.peers.broadcast({ type: "news", news: statuses });
     }
@@ -547,14 +547,14 @@
 
     private receiveAdmission(vm: string, message: AdmissionMessage): void {
         if (this.ownership !== undefined) {
-            this.ownership.engines.receiveRequest(vm, message);
+            this.ownership.engines.receiveAdmissionMessage(vm, message);
         }
     }
 
     /** Replies to a VM, which may be this VM, whose request asked for admission on an engine of this VM. */
-    private sendAdmissionReply(vm: string, reply: AdmissionAnswer): void {
+    private sendAdmissionReply(vm: string, reply: AdmissionReply): void {
         if (vm === this.options.settings.vm) {
-            this.admissions.receiveAnswer(vm, reply);
+            this.admissions.receiveReply(vm, reply);
         }
         else {
             this.peers.send(vm, { type: "admission", answer: reply });
@@ -579,7 +579,7 @@
     }
 
     private sendHandover(handover: Handover): boolean {
-        const [target] = this.peers.listHeirs();
+        const [target] = this.peers.listHandoverTargets();
         return target !== undefined
             && this.peers.send(target, { type: "handover", ...handover, givers: [...handover.givers] });
     }
@@ -603,13 +603,13 @@
         this.accountGuard.update();
         this.metrics.setConfigurationAge(this.accountGuard.configurationAgeMs);
         this.ownership?.update();
-        this.peers.setHub(this.hubMonitor.update(this.ownership?.engines.hasAny ?? false, readNow()));
+        this.peers.setHub(this.hubMonitor.update(this.ownership?.engines.hasEngines ?? false, readNow()));
         this.changeSharing.update();
         this.updateIsolation();
     }
 
     private updateIsolation(): void {
-        const othersSilenceMs = this.peers.readOthersQuietMs();
+        const othersSilenceMs = this.peers.readOtherDataCentresSilenceMs();
         const wasIsolated = this.isolationMonitor.isIsolated;
         const signals = {
             hasOthers: othersSilenceMs !== undefined,
@@ -628,7 +628,7 @@
         const { graceMs } = this.options.settings;
         this.lifecycle.send("stop");
         this.log.recordImportant("stop", { openRequests: this.serving.openCount });
-        this.serving.closeAfterAnswers();
+        this.serving.closeAfterResponses();
         const released = this.ownership?.stop() ?? Promise.resolve();
         this.peers.broadcast({ type: "leaving" });
         this.appendMember({ hasLeft: true });
--- a/packages/node/src/requests/admissions.ts
+++ b/packages/node/src/requests/admissions.ts
@@ -1,4 +1,4 @@
-import type { AdmissionAnswer, AdmissionRequest, UpstreamLoad } from "@radishreel/fleet";
+import type { AdmissionReply, AdmissionRequest, UpstreamLoad } from "@radishreel/fleet";
 
 /**
  * Time without a reply after which an owner counts as frozen or unreachable, in milliseconds. Replies take about 3 ms,
@@ -92,7 +92,7 @@
     }
 
     /** Records that any message arrived from a VM. */
-    recordHeard(vm: string): void {
+    recordContact(vm: string): void {
         this.unresponsiveUntil.delete(vm);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** Receives an owner's reply. */
-    receiveAnswer(vm: string, reply: AdmissionAnswer): void {
+    receiveReply(vm: string, reply: AdmissionReply): void {
         const found = this.tickets.get(reply.ticket);
         if (found === undefined || found.owner !== vm) {
             return;
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -1,10 +1,10 @@
 import { type Route } from "@radishreel/routing";
-import type { AnswerHead, RawHeaders, RequestDialect, SendOptions } from "../ports.js";
+import type { RawHeaders, RequestDialect, ResponseHead, SendOptions } from "../ports.js";
 import type { CallerExchange } from "./caller.js";
 import type { ConnectionPool, UpstreamConnection } from "./connections.js";
 import { EventSplitter, type StreamEvent } from "./events.js";
 import { Exchange, type ExchangePhase, type ExchangeReceiver } from "./exchange.js";
-import { readWords, type UpstreamWords } from "./words.js";
+import { readResponseMetadata, type ResponseMetadata } from "./words.js";
 
 /** Maximum bytes of a plain response that are buffered until it is complete; larger responses are streamed. */
 const maxBufferedBytes = 256 * 1024;
@@ -74,7 +74,7 @@
     readonly readTime: () => number;
     readonly checkBeforeSend: () => boolean;
     /** Called when the head of the response arrives, which for streams is long before their end. */
-    readonly onMetadata: (metadata: UpstreamWords) => void;
+    readonly onMetadata: (metadata: ResponseMetadata) => void;
     /** Called when the first event of a stream arrives, or when a large plain response starts to be streamed. */
     readonly onStart: () => void;
 }
@@ -100,7 +100,7 @@
     private startLimitTimer: NodeJS.Timeout | undefined;
     private status = 0;
     private headers: RawHeaders = [];
-    private head: AnswerHead | undefined;
+    private head: ResponseHead | undefined;
     private bufferedChunks: Buffer[] = [];
     private bufferedBytes = 0;
     private wasWritten = false;
@@ -159,13 +159,13 @@
     }
 
     receiveHead(status: number, headers: RawHeaders): void {
-        const head = this.options.dialect.parseAnswer(status, headers);
+        const head = this.options.dialect.parseResponse(status, headers);
         this.status = status;
         this.headers = headers;
         this.head = head;
         this.isCloseDelimited = !hasMessageFraming(headers);
         const { requestId, send: { upstreamName } } = this.options;
-        this.options.onMetadata(readWords(head, { requestId, upstreamName }));
+        this.options.onMetadata(readResponseMetadata(head, { requestId, upstreamName }));
         if (head.requestId !== undefined && head.requestId !== this.options.requestId) {
             this.finishBroken("wrongAnswer", `the response belongs to request ${head.requestId}`);
             return;
@@ -259,7 +259,7 @@
             return;
         }
         if (!caller.hasResponseHead) {
-            caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), this.isCloseDelimited);
+            caller.startResponse(this.status, dialect.listResponseHeaders(this.headers), this.isCloseDelimited);
         }
         recordProgress(progress, fresh.length, this.options.readTime());
         progress.lastEventId = fresh.at(-1)!.id ?? progress.lastEventId;
@@ -288,7 +288,7 @@
         const { caller, dialect } = this.options;
         this.isPassing = true;
         this.options.onStart();
-        caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), this.isCloseDelimited);
+        caller.startResponse(this.status, dialect.listResponseHeaders(this.headers), this.isCloseDelimited);
         for (const chunk of this.bufferedChunks) {
             this.pass(chunk);
         }
@@ -323,11 +323,11 @@
             caller.endResponse();
         }
         else if (this.isCloseDelimited) {
-            caller.startResponse(this.status, dialect.listAnswerHeaders(this.headers), true);
+            caller.startResponse(this.status, dialect.listResponseHeaders(this.headers), true);
             caller.endResponse(body);
         }
         else {
-            caller.startResponse(this.status, createBodyHeaders(dialect.listAnswerHeaders(this.headers), body));
+            caller.startResponse(this.status, createBodyHeaders(dialect.listResponseHeaders(this.headers), body));
             caller.endResponse(body);
         }
         this.finish({ kind: "complete", status: this.status });
--- a/packages/node/src/requests/caller.ts
+++ b/packages/node/src/requests/caller.ts
@@ -32,7 +32,7 @@
     | "truncatedAnswer";
 
 /** Response with which this program refuses a request. */
-export interface OwnAnswer {
+export interface RefusalResponse {
     readonly status: number;
     readonly reason: RefusalReason;
     /** Value of `Retry-After`, in seconds. */
@@ -118,7 +118,7 @@
     }
 
     /** Closes the connection after this response, even if the head of the response has already been written. */
-    closeAfterAnswer(): void {
+    closeAfterResponse(): void {
         if (!this.response.headersSent) {
             this.response.shouldKeepAlive = false;
             return;
@@ -170,7 +170,7 @@
     }
 
     /** Sends a refusal; aborts the response instead if one has started. */
-    refuse(refusal: OwnAnswer): void {
+    refuse(refusal: RefusalResponse): void {
         if (this.hasResponseHead) {
             this.cancelResponse();
             return;
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/choosing.ts
@@ -5,10 +5,10 @@
     findAdapterKey,
     type FleetView,
     hasLongAnswer,
-    type KeptParts,
     type ModelDemand,
     type PauseThreshold,
     prefillTokensPerMs,
+    type PrefixCache,
     type UpstreamChoice,
     type UpstreamState,
 } from "@radishreel/fleet";
@@ -74,7 +74,7 @@
     readonly dataCentre: string;
     readonly view: FleetView;
     readonly admissions: Admissions;
-    readonly prefixCache: KeptParts;
+    readonly prefixCache: PrefixCache;
     readonly longPromptThreshold: PauseThreshold;
     readonly log: DecisionLog;
     readonly readTime: () => number;
@@ -172,7 +172,7 @@
     private mayWait(job: Job, now: number): boolean {
         const halfTimeAt = job.startedAt + (job.deadlineAt - job.startedAt) / 2;
         const hasEngine = job.service.engine !== undefined
-            && this.options.view.listAwake(job.service.name, now).length > 0;
+            && this.options.view.listAvailable(job.service.name, now).length > 0;
         const backoffEndAt = hasEngine ? undefined : this.findBackoffEnd(job, now);
         return hasEngine
             ? now < halfTimeAt
@@ -184,7 +184,7 @@
         const { view } = this.options;
         const ends = view.listUsable(job.service.name)
             .filter(({ upstream }) => !isExcluded(job.tried.get(upstream.id)))
-            .map(({ upstream }) => view.rests.findEnd(upstream.id, now) ?? Infinity);
+            .map(({ upstream }) => view.backoffs.findEnd(upstream.id, now) ?? Infinity);
         const first = Math.min(...ends);
         return first === Infinity ? undefined : first;
     }
@@ -207,8 +207,8 @@
             ...base,
             demand: model,
             longPromptTokens: longPromptThreshold.tokens,
-            findKeptTokens: engine => prefixCache.countKeptTokens(engine, model, now),
-            canAsk: state => this.canAsk(state),
+            findCachedTokens: engine => prefixCache.countCachedTokens(engine, model, now),
+            canAskOwner: state => this.canAsk(state),
         };
         const choice = chooseEngine(options);
         return choice === undefined ? undefined : this.chooseNewest(job, options, choice);
@@ -261,7 +261,7 @@
         const outcome = await this.waitForOutcome(job, admission);
         // Waits can last seconds, and the owner may know less than this VM, so the conditions are checked again.
         const { view } = this.options;
-        const isUsable = view.isUsable(engine) && !view.rests.isResting(engine, this.options.readTime());
+        const isUsable = view.isUsable(engine) && !view.backoffs.isBackingOff(engine, this.options.readTime());
         const isVersionAllowed = outcome?.kind === "admitted"
             && (outcome.version ?? Infinity) >= (this.findOldestVersion(model) ?? 0);
         if (isUsable && isVersionAllowed) {
@@ -314,7 +314,7 @@
 
     /** Whether an engine will still be backing off when its owner expects to admit the request. */
     private isBackoffLonger({ engine, expectedAt }: Admission): boolean {
-        const backoffEndAt = this.options.view.rests.findEnd(engine, this.options.readTime());
+        const backoffEndAt = this.options.view.backoffs.findEnd(engine, this.options.readTime());
         return backoffEndAt !== undefined && backoffEndAt > expectedAt;
     }
 
@@ -359,7 +359,7 @@
     /** Finds the oldest version of the request's adapter that may be used now; undefined if any may be used. */
     private findOldestVersion(model: ModelDemand): number | undefined {
         const key = findAdapterKey(model);
-        return key === undefined ? undefined : this.options.view.versions.findOldest(key, this.readBoot());
+        return key === undefined ? undefined : this.options.view.versions.findOldestUsable(key, this.readBoot());
     }
 
     /** Finds the version that a load would bring; undefined if none was announced. */
--- a/packages/node/src/requests/job.ts
+++ b/packages/node/src/requests/job.ts
@@ -1,4 +1,4 @@
-import type { AdapterWant, UpstreamChoice } from "@radishreel/fleet";
+import type { LoadRequest, UpstreamChoice } from "@radishreel/fleet";
 import type { Account, Route, Service } from "@radishreel/routing";
 import type { QuotaClaim } from "../accounts/index.js";
 import type { Permit } from "../crashes/index.js";
@@ -95,5 +95,5 @@
 /** Asks an engine's owner to load a newer version of an adapter without a request that waits for it. */
 export interface Preparation {
     readonly engine: string;
-    readonly want: AdapterWant & { readonly version: number; readonly lifeMs: number; };
+    readonly want: LoadRequest & { readonly version: number; readonly lifeMs: number; };
 }
