--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -2,9 +2,9 @@
     findAdapterKey,
     type FleetView,
     hasLongAnswer,
-    KeptParts,
     type LoadHandle,
     PauseThreshold,
+    PrefixCache,
     type RetryBudget,
     type UpstreamChoice,
     type UpstreamState,
@@ -17,14 +17,14 @@
 import type { CallerDemand, CallerIdentity, RequestDialect } from "../ports.js";
 import type { Admissions } from "./admissions.js";
 import { Attempt, type AttemptEnd, createBodyHeaders } from "./attempt.js";
-import type { CallerExchange, OwnAnswer, RefusalReason } from "./caller.js";
+import type { CallerExchange, RefusalReason, RefusalResponse } from "./caller.js";
 import { UpstreamChooser } from "./choosing.js";
 import type { ConnectionPool } from "./connections.js";
 import { RequestDigest } from "./digest.js";
 import { withdrawnDetail } from "./exchange.js";
 import { createJob, type Job, type Preparation, type ReadyUpstream } from "./job.js";
 import { minAttemptMs, readLastSendAt } from "./patience.js";
-import { emptyMetadata, type UpstreamWords } from "./words.js";
+import { emptyMetadata, type ResponseMetadata } from "./words.js";
 
 /** Maximum rejections of one request by upstreams before it is refused. Rejected requests did not run. */
 const maxRejections = 6;
@@ -98,7 +98,7 @@
     /** Called when a response announces that its upstream is leaving. */
     readonly onLeaving: (upstream: string) => void;
     /** Called when an upstream requests backoff from this VM. */
-    readonly onRest: () => void;
+    readonly onBackoff: () => void;
     readonly onRefusal: (reason: RefusalReason) => void;
     readonly onRetry: (reason: string) => void;
     /** Called when all upstreams of a service are compared for one request. */
@@ -111,7 +111,7 @@
 
 /** Serves callers' requests: finds the route, chooses upstreams, and retries requests where that is allowed. */
 export class Serving {
-    private readonly prefixCache = new KeptParts();
+    private readonly prefixCache = new PrefixCache();
     private readonly longPromptThreshold = new PauseThreshold();
     private readonly openExchanges = new Set<CallerExchange>();
     private readonly attempts = new Set<Attempt>();
@@ -134,9 +134,9 @@
     }
 
     /** Closes each connection that carries a request now after the response to that request. */
-    closeAfterAnswers(): void {
+    closeAfterResponses(): void {
         for (const caller of this.openExchanges) {
-            caller.closeAfterAnswer();
+            caller.closeAfterResponse();
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /** Makes waiting requests choose again soon after the status of engines has changed. */
-    receiveNews(): void {
+    receiveEngineStatus(): void {
         this.chooser.receiveEngineStatus();
     }
 
@@ -318,12 +318,12 @@
     /** Whether the crash guard and the account guard currently allow a request to run. */
     private mayRun(job: Job): boolean {
         const { guard, accounts } = this.options;
-        return !guard.isRefused(job) && !guard.isHeld(job) && accounts.findRefusal(job) === undefined;
+        return !guard.isRefused(job) && !guard.isAwaitingPermit(job) && accounts.findRefusal(job) === undefined;
     }
 
     private claimRetry(job: Job): boolean {
         const { budgets, readTime, countVms } = this.options;
-        return budgets(job.service.name).claimRepeat(readTime(), countVms());
+        return budgets(job.service.name).claimRetry(readTime(), countVms());
     }
 
     /** Whether another attempt is allowed and can still succeed in time. */
@@ -347,7 +347,7 @@
         let responseStartedAt: number | undefined;
         const key = findAdapterKey(job.demand.model);
         const replacedMs = this.readReplacedMs(key, choice);
-        let metadata: UpstreamWords = emptyMetadata;
+        let metadata: ResponseMetadata = emptyMetadata;
         job.attempts += 1;
         const attempt = new Attempt({
             ...this.createAttemptTimes(job, choice, sentAt),
@@ -382,15 +382,15 @@
             },
             onStart: () => {
                 responseStartedAt = readTime();
-                load.begin();
+                load.finishPrefill();
                 admission?.start();
-                health.recordPace((readTime() - sentAt) / Math.max(30, choice.costMs));
+                health.recordSlowdown((readTime() - sentAt) / Math.max(30, choice.costMs));
             },
         });
         this.attempts.add(attempt);
         const end = await attempt.end;
         this.attempts.delete(attempt);
-        load.end();
+        load.finish();
         admission?.finish();
         this.recordAttempt(job, choice, end, sentAt, metadata);
         log.record("attempt", {
@@ -412,7 +412,7 @@
             saysLeaving: metadata.isLeaving || undefined,
             asksRestMs: metadata.askedRestMs,
         });
-        await this.options.guard.recordEnd(job, upstream, end, { sentAt, begunAt: responseStartedAt });
+        await this.options.guard.recordEnd(job, upstream, end, { sentAt, firstEventAt: responseStartedAt });
         return end;
     }
 
@@ -422,7 +422,7 @@
         const { id } = choice.state.upstream;
         const now = readTime();
         return !job.caller.hasLeft && now < job.deadlineAt
-            && view.isUsable(id) && !view.rests.isResting(id, now)
+            && view.isUsable(id) && !view.backoffs.isBackingOff(id, now)
             && this.mayRun(job) && accounts.hasIdentity(job, identity)
             && this.mayUseVersion(findAdapterKey(job.demand.model), choice);
     }
@@ -446,11 +446,11 @@
     }
 
     /** Handles the metadata of a response as soon as its head arrives. */
-    private receiveMetadata(upstream: string, metadata: UpstreamWords): void {
-        const { view, readTime, onLeaving, onRest } = this.options;
+    private receiveMetadata(upstream: string, metadata: ResponseMetadata): void {
+        const { view, readTime, onLeaving, onBackoff } = this.options;
         if (metadata.askedRestMs !== undefined) {
-            view.rests.record(upstream, metadata.askedRestMs, readTime());
-            onRest();
+            view.backoffs.record(upstream, metadata.askedRestMs, readTime());
+            onBackoff();
         }
         if (metadata.isLeaving) {
             onLeaving(upstream);
@@ -497,7 +497,7 @@
         choice: UpstreamChoice,
         end: AttemptEnd,
         sentAt: number,
-        { askedRestMs }: UpstreamWords,
+        { askedRestMs }: ResponseMetadata,
     ): void {
         const { readTime, sendMissing } = this.options;
         const now = readTime();
@@ -506,7 +506,7 @@
         const key = findAdapterKey(model);
         switch (end.kind) {
             case "complete":
-                health.recordAnswer(now, this.readAnswerPace(job, now - sentAt));
+                health.recordResponse(now, this.readAnswerPace(job, now - sentAt));
                 if (model !== undefined) {
                     this.prefixCache.record(upstream.id, model, now);
                     this.recordPauses(job, choice.state, sentAt);
@@ -566,7 +566,7 @@
             return;
         }
         if (last?.kind === "failed") {
-            const headers = this.options.dialect.listAnswerHeaders(last.headers);
+            const headers = this.options.dialect.listResponseHeaders(last.headers);
             if (job.caller.hasResponseHead) {
                 job.caller.cancelResponse();
                 return;
@@ -578,7 +578,7 @@
         this.refuse(job.caller, job.demand, this.createRefusal(job, last, reason));
     }
 
-    private createRefusal(job: Job, last: AttemptEnd | undefined, reason?: RefusalReason): OwnAnswer {
+    private createRefusal(job: Job, last: AttemptEnd | undefined, reason?: RefusalReason): RefusalResponse {
         const refusal = this.options.guard.findRefusal(job) ?? this.options.accounts.findRefusal(job);
         if (refusal !== undefined) {
             return refusal;
@@ -608,11 +608,11 @@
 
     /** Finds when the first backoff ends; undefined if an upstream without backoff could serve the request now. */
     private findBackoffEnd(job: Job, now: number): number | undefined {
-        const hasAvailable = this.options.view.listAwake(job.service.name, now).length > 0;
+        const hasAvailable = this.options.view.listAvailable(job.service.name, now).length > 0;
         return hasAvailable ? undefined : this.chooser.findBackoffEnd(job, now);
     }
 
-    private refuse(caller: CallerExchange, demand: CallerDemand, refusal: OwnAnswer): void {
+    private refuse(caller: CallerExchange, demand: CallerDemand, refusal: RefusalResponse): void {
         this.options.onRefusal(refusal.reason);
         this.options.log.recordImportant("refused", {
             request: demand.requestId,
--- a/packages/node/src/requests/words.ts
+++ b/packages/node/src/requests/words.ts
@@ -1,13 +1,13 @@
-import type { AnswerHead } from "../ports.js";
+import type { ResponseHead } from "../ports.js";
 
 /** What the headers of a response say about the upstream that sent it. */
-export type UpstreamWords = Pick<AnswerHead, "isLeaving" | "askedRestMs">;
+export type ResponseMetadata = Pick<ResponseHead, "isLeaving" | "askedRestMs">;
 
 /** Metadata of a response whose headers say nothing about its upstream. */
-export const emptyMetadata: UpstreamWords = { isLeaving: false, askedRestMs: undefined };
+export const emptyMetadata: ResponseMetadata = { isLeaving: false, askedRestMs: undefined };
 
 /** The request and the upstream that a response is expected to name. */
-export interface ExpectedAnswer {
+export interface ExpectedResponse {
     readonly requestId: string | undefined;
     readonly upstreamName: string;
 }
@@ -17,7 +17,10 @@
  * another upstream yields no metadata. A response that is marked as misdirected may come from another incarnation at
  * the same address, so it counts only if it names the upstream.
  */
-export function readWords(head: AnswerHead, { requestId, upstreamName }: ExpectedAnswer): UpstreamWords {
+export function readResponseMetadata(
+    head: ResponseHead,
+    { requestId, upstreamName }: ExpectedResponse,
+): ResponseMetadata {
     const isForRequest = head.requestId === undefined || head.requestId === requestId;
     const isFromUpstream = head.answeredBy === undefined ? !head.isMisdirected : head.answeredBy === upstreamName;
     return isForRequest && isFromUpstream
--- a/packages/node/test/choosing.test.ts
+++ b/packages/node/test/choosing.test.ts
@@ -1,4 +1,4 @@
-import { FleetView, KeptParts, PauseThreshold } from "@radishreel/fleet";
+import { FleetView, PauseThreshold, PrefixCache } from "@radishreel/fleet";
 import type { Route } from "@radishreel/routing";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -6,7 +6,7 @@
 import type { CallerExchange } from "../src/requests/caller.js";
 import { UpstreamChooser } from "../src/requests/choosing.js";
 import { createJob, type Job } from "../src/requests/job.js";
-import { createDigest, createNews, createSilentLog, createUpstream, engineService } from "./fixtures.js";
+import { createDigest, createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
 
 const route: Route = {
     name: "r",
@@ -32,7 +32,7 @@
     const view = new FleetView();
     for (const id of engines) {
         view.updateUpstream(createUpstream(id), readTime());
-        view.updateNews("owner", createNews(id), readTime());
+        view.updateStatus("owner", createEngineStatus(id), readTime());
     }
     const messages: AdmissionMessage[] = [];
     const counts = { choices: 0 };
@@ -48,7 +48,7 @@
         dataCentre: "z",
         view,
         admissions,
-        prefixCache: new KeptParts(),
+        prefixCache: new PrefixCache(),
         longPromptThreshold: new PauseThreshold(),
         log: createSilentLog(readTime),
         readTime,
@@ -82,7 +82,7 @@
 test("a request whose owner always replies immediately that it owns nothing leaves the event loop free", async () => {
     const { chooser } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type === "admit") {
-            admissions.receiveAnswer("owner", { kind: "notOwned", ticket: message.request.ticket });
+            admissions.receiveReply("owner", { kind: "notOwned", ticket: message.request.ticket });
         }
     });
     let turns = 0;
@@ -96,7 +96,7 @@
 test("a waiting request compares engines once for a burst of engine status messages", async () => {
     const { chooser, view, counts } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
-            admissions.receiveAnswer("owner", { kind: "admitted", ticket: message.request.ticket, version: 3 });
+            admissions.receiveReply("owner", { kind: "admitted", ticket: message.request.ticket, version: 3 });
         }
     });
     view.removeVm("owner");
@@ -109,7 +109,7 @@
         }
     }
     assert.is(counts.choices, 1);
-    view.updateNews("owner", createNews("e1"), performance.now());
+    view.updateStatus("owner", createEngineStatus("e1"), performance.now());
     chooser.receiveEngineStatus();
     assert.is((await ready)?.choice.version, 3);
     assert.is(counts.choices, 2);
@@ -123,7 +123,7 @@
         }
         asked.push(message.engine);
         const { ticket } = message.request;
-        admissions.receiveAnswer(
+        admissions.receiveReply(
             "owner",
             asked.length === 1
                 ? { kind: "declined", ticket, expectedMs: 9000 }
@@ -139,7 +139,7 @@
         if (message.type === "admit") {
             declined.push(message.engine);
             const { ticket } = message.request;
-            admissions.receiveAnswer("owner", { kind: "declined", ticket, expectedMs: 9000 });
+            admissions.receiveReply("owner", { kind: "declined", ticket, expectedMs: 9000 });
         }
     });
     const job = createRequest(6000);
@@ -157,7 +157,7 @@
         }
         const { ticket, expectedQueueMs } = message.request;
         asked.push({ engine: message.engine, expectedQueueMs });
-        admissions.receiveAnswer(
+        admissions.receiveReply(
             "owner",
             expectedQueueMs === undefined
                 ? { kind: "admitted", ticket, version: 3 }
@@ -169,19 +169,19 @@
     assert.is(asked.length, 5);
     assert.equal(new Set(asked.slice(0, 2).map(({ engine }) => engine)), new Set(["e1", "e2"]));
     assert.equal(asked.map(({ expectedQueueMs }) => expectedQueueMs !== undefined), [true, true, true, true, false]);
-    assert.equal(view.findUpstream("e1")?.news?.held, { "base/a1": 3 });
+    assert.equal(view.findUpstream("e1")?.status?.held, { "base/a1": 3 });
     assert.is(view.readLoad("e2").backlogTokens, 90_000);
 });
 
 test("a request that needs a load asks for the newest version, not for one that would start too late", async () => {
     const { chooser, messages, view } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
-            admissions.receiveAnswer("owner", { kind: "admitted", ticket: message.request.ticket, version: 2 });
+            admissions.receiveReply("owner", { kind: "admitted", ticket: message.request.ticket, version: 2 });
         }
     });
-    const news = view.findUpstream("e1")!.news!;
+    const news = view.findUpstream("e1")!.status!;
     const load = { ...news.load, backlogTokens: 120_000 };
-    view.updateNews("owner", { ...news, revision: 2, held: { "base/a1": 1 }, load }, performance.now());
+    view.updateStatus("owner", { ...news, revision: 2, held: { "base/a1": 1 }, load }, performance.now());
     view.versions.update("base/a1", 2, performance.now());
     await chooser.chooseReady(createRequest(6000));
     assert.equal(messages.flatMap(message => message.type === "admit" ? [message.request.version] : []), [2]);
@@ -189,8 +189,8 @@
 
 test("a request whose owner does not reply is sent without admission to an engine with the adapter", async () => {
     const { chooser, messages, view } = createChooser(["e1"], () => {});
-    const news = view.findUpstream("e1")!.news!;
-    view.updateNews("owner", { ...news, revision: 2, held: { "base/a1": 4 } }, performance.now());
+    const news = view.findUpstream("e1")!.status!;
+    view.updateStatus("owner", { ...news, revision: 2, held: { "base/a1": 4 } }, performance.now());
     const ready = await chooser.chooseReady(createRequest(6000));
     assert.is(ready?.choice.version, 4);
     assert.equal(messages.map(message => message.type), ["admit", "ended"]);
@@ -202,11 +202,11 @@
     const { chooser, view } = createChooser(["e1"], (message, admissions) => {
         if (message.type === "admit") {
             versions.push(message.request.version);
-            admissions.receiveAnswer("owner", { kind: "declined", ticket: message.request.ticket, expectedMs: 9000 });
+            admissions.receiveReply("owner", { kind: "declined", ticket: message.request.ticket, expectedMs: 9000 });
         }
     }, () => performance.now() + bootAheadMs);
-    const news = view.findUpstream("e1")!.news!;
-    view.updateNews("owner", { ...news, revision: 2, canOrder: false, held: { "base/a1": 1 } }, performance.now());
+    const news = view.findUpstream("e1")!.status!;
+    view.updateStatus("owner", { ...news, revision: 2, canOrder: false, held: { "base/a1": 1 } }, performance.now());
     view.versions.update("base/a1", 2, performance.now());
     await chooser.chooseReady(createRequest(100));
     assert.equal(versions, [undefined]);
@@ -214,7 +214,7 @@
     // The owner may not send orders, so only a loaded version can be chosen.
     assert.is(await chooser.chooseReady(createRequest(100)), undefined);
     assert.equal(versions, [undefined]);
-    view.updateNews("owner", { ...news, revision: 3, held: { "base/a1": 1 } }, performance.now());
+    view.updateStatus("owner", { ...news, revision: 3, held: { "base/a1": 1 } }, performance.now());
     await chooser.chooseReady(createRequest(100));
     assert.equal(versions, [undefined, 2]);
 });
@@ -225,7 +225,7 @@
         if (message.type === "admit") {
             const version = Math.min(2, named.length + 1);
             named.push(version);
-            admissions.receiveAnswer("owner", { kind: "admitted", ticket: message.request.ticket, version });
+            admissions.receiveReply("owner", { kind: "admitted", ticket: message.request.ticket, version });
         }
     });
     view.versions.update("base/a1", 2, -Infinity);
--- a/packages/node/test/crowd.test.ts
+++ b/packages/node/test/crowd.test.ts
@@ -66,7 +66,7 @@
         readTime: () => 0,
         onFrame,
         onBytes: () => {},
-        createGreeting: () => [],
+        createInitialMessages: () => [],
         onMessage: () => {},
         onStart: () => {},
         onClose: () => {},
--- a/packages/node/test/departures.test.ts
+++ b/packages/node/test/departures.test.ts
@@ -1,7 +1,7 @@
 import { FleetView } from "@radishreel/fleet";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { DepartureSharing } from "../src/knowledge/departures.js";
+import { LeavingUpstreamSharing } from "../src/knowledge/departures.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import { createSilentLog, createUpstream } from "./fixtures.js";
 
@@ -10,7 +10,7 @@
     view.updateUpstream(createUpstream("e1"), 0);
     const sent: PeerMessage[] = [];
     let changeCount = 0;
-    const sharing = new DepartureSharing({
+    const sharing = new LeavingUpstreamSharing({
         view,
         log: createSilentLog(() => 0),
         readTime: () => 0,
@@ -22,18 +22,18 @@
 
 test("a VM that learns from responses that an upstream is leaving announces it to other VMs once", () => {
     const { view, sharing, sent, countChanges } = createSharing();
-    sharing.recordAnswer("e1");
-    sharing.recordAnswer("e1");
+    sharing.recordResponse("e1");
+    sharing.recordResponse("e1");
     assert.is(view.isUsable("e1"), false);
     assert.equal(sent, [{ type: "upstreamsLeaving", upstreams: ["e1"] }]);
     assert.is(countChanges(), 1);
-    assert.equal(sharing.createGreeting(), sent);
+    assert.equal(sharing.createInitialMessages(), sent);
 });
 
 test("a VM that learns from a peer that an upstream is leaving announces nothing, even after such a response", () => {
     const { view, sharing, sent } = createSharing();
     sharing.receive("b", ["e1", "e2"]);
-    sharing.recordAnswer("e1");
+    sharing.recordResponse("e1");
     assert.is(view.isUsable("e1"), false);
     assert.equal(sent, []);
     // The entry of the unknown upstream e2 arrives later and is older than its announcement.
@@ -44,8 +44,8 @@
 test("a VM that has read from an entry that an upstream is leaving announces nothing after such a response", () => {
     const { view, sharing, sent, countChanges } = createSharing();
     view.updateUpstream(createUpstream("e1", { isLeaving: true }), 0);
-    sharing.recordAnswer("e1");
-    assert.equal([sent.length, countChanges(), sharing.createGreeting().length], [0, 0, 0]);
+    sharing.recordResponse("e1");
+    assert.equal([sent.length, countChanges(), sharing.createInitialMessages().length], [0, 0, 0]);
     // The announcement still holds if an older entry is applied as the newest.
     view.updateUpstream(createUpstream("e1"), 0);
     assert.is(view.isUsable("e1"), false);
@@ -53,7 +53,7 @@
 
 test("a leaving upstream whose entry lapses and comes back gets no requests, but its next incarnation does", () => {
     const { view, sharing } = createSharing();
-    sharing.recordAnswer("e1");
+    sharing.recordResponse("e1");
     view.removeUpstream("e1");
     view.updateUpstream(createUpstream("e1"), 0);
     assert.equal([view.isUsable("e1"), view.listUsable("llm").length], [false, 0]);
--- a/packages/node/test/engines.test.ts
+++ b/packages/node/test/engines.test.ts
@@ -1,11 +1,11 @@
-import { type AdmissionAnswer, type EngineNews, type EngineOrder, FleetView } from "@radishreel/fleet";
+import { type AdmissionReply, type EngineOrder, type EngineStatus, FleetView } from "@radishreel/fleet";
 import { err, ok } from "neverthrow";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { Timers } from "../src/clock.js";
 import { OwnedEngines } from "../src/ownership/engines.js";
 import type { EngineOrders } from "../src/ports.js";
-import { createNews, createSilentLog, createUpstream, engineService } from "./fixtures.js";
+import { createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
 
 /** Timers that count repeated timers and run none by themselves. */
 class CountingTimers implements Timers {
@@ -40,9 +40,9 @@
     const { timers, countOthers = () => 2, readBoot, orders } = options;
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1@1", { name: "e1", bornAt: 1 }), 0);
-    const statuses: EngineNews[] = [];
+    const statuses: EngineStatus[] = [];
     const messages: number[] = [];
-    const answers: AdmissionAnswer[] = [];
+    const answers: AdmissionReply[] = [];
     const readTime = () => 0;
     const engines = new OwnedEngines({
         vm: "a",
@@ -54,11 +54,11 @@
         findService: () => engineService,
         mayOrder: () => true,
         readFence: () => 7,
-        sendNews: sent => {
+        sendStatuses: sent => {
             messages.push(sent.length);
             statuses.push(...sent);
         },
-        sendAnswer: (_vm, answer) => answers.push(answer),
+        sendReply: (_vm, answer) => answers.push(answer),
         countOthers,
         timers,
     });
@@ -81,14 +81,14 @@
 test("releasing an engine declines waiting requests and sends a status with a higher revision than all before", () => {
     const { engines, statuses, answers, view } = createEngines();
     engines.update(() => true);
-    engines.receiveRequest("b", { type: "admit", engine: "e1@1", request });
+    engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     engines.update(() => false);
     engines.stop();
     assert.equal(answers.map(({ kind }) => kind), ["queued", "declined"]);
     const last = statuses.at(-1)!;
     assert.equal([last.isOwned, last.canOrder], [false, false]);
     for (const status of statuses) {
-        assert.is(view.updateNews("a", status, 0), true);
+        assert.is(view.updateStatus("a", status, 0), true);
     }
     assert.is(view.findUpstream("e1@1")?.owner, undefined);
 });
@@ -125,9 +125,13 @@
 test("the load in a listed status does not change when more requests run", () => {
     const { engines, statuses } = createEngines();
     engines.update(() => true);
-    engines.receiveRequest("b", { type: "runs", engine: "e1@1", requests: [request] });
-    const [status] = engines.listNews();
-    engines.receiveRequest("b", { type: "runs", engine: "e1@1", requests: [request, { ...request, ticket: 2 }] });
+    engines.receiveAdmissionMessage("b", { type: "runs", engine: "e1@1", requests: [request] });
+    const [status] = engines.listStatuses();
+    engines.receiveAdmissionMessage("b", {
+        type: "runs",
+        engine: "e1@1",
+        requests: [request, { ...request, ticket: 2 }],
+    });
     engines.stop();
     assert.is(status!.load.active, 1);
     assert.ok(statuses.length > 0);
@@ -146,7 +150,7 @@
     engines.stop();
     assert.equal(messages, [4, 3, 1]);
     for (const status of statuses) {
-        assert.is(view.updateNews("a", status, 0), true);
+        assert.is(view.updateStatus("a", status, 0), true);
     }
 });
 
@@ -159,31 +163,31 @@
         return isUsable(id);
     };
     engines.update(() => true);
-    engines.receiveRequest("b", { type: "runs", engine: "e1@1", requests: [request] });
+    engines.receiveAdmissionMessage("b", { type: "runs", engine: "e1@1", requests: [request] });
     const before = usableChecks;
-    engines.receiveRequest("b", { type: "runs", engine: "e1@1", requests: [request] });
-    engines.receiveRequest("c", { type: "runs", engine: "e1@1", requests: [] });
+    engines.receiveAdmissionMessage("b", { type: "runs", engine: "e1@1", requests: [request] });
+    engines.receiveAdmissionMessage("c", { type: "runs", engine: "e1@1", requests: [] });
     assert.is(usableChecks, before);
-    engines.receiveRequest("c", { type: "runs", engine: "e1@1", requests: [{ ...request, ticket: 2 }] });
+    engines.receiveAdmissionMessage("c", { type: "runs", engine: "e1@1", requests: [{ ...request, ticket: 2 }] });
     assert.is(usableChecks, before + 1);
-    assert.is(engines.listNews()[0]!.load.active, 2);
+    assert.is(engines.listStatuses()[0]!.load.active, 2);
     engines.stop();
 });
 
 test("a VM replies notOwned to a request for admission to an engine that it does not own", () => {
     const { engines, answers } = createEngines();
-    engines.receiveRequest("b", { type: "admit", engine: "e1@1", request });
+    engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     engines.stop();
     assert.equal(answers, [{ kind: "notOwned", ticket: 1 }]);
 });
 
 test("an owner admits no request for an adapter version replaced long ago, even if its VM was suspended since", () => {
     const { engines, answers, view } = createEngines({ readBoot: () => 10_000 });
-    view.updateNews("b", createNews("e1@1", { held: { "base/a1": 1 } }), 0);
+    view.updateStatus("b", createEngineStatus("e1@1", { held: { "base/a1": 1 } }), 0);
     engines.update(() => true);
-    engines.receiveRequest("b", { type: "admit", engine: "e1@1", request });
+    engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     view.versions.update("base/a1", 2, 0);
-    engines.receiveRequest("b", { type: "admit", engine: "e1@1", request: { ...request, ticket: 2 } });
+    engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request: { ...request, ticket: 2 } });
     engines.stop();
     assert.equal(answers.slice(0, 2).map(({ kind }) => kind), ["admitted", "queued"]);
 });
@@ -202,7 +206,7 @@
         });
         created.view.versions.update("base/a1", 3, -Infinity);
         created.engines.update(() => true);
-        created.engines.receiveRequest("b", { type: "admit", engine: "e1@1", request });
+        created.engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     });
     engines.stop();
     assert.equal([order.action, order.adapter, order.version], ["load", "a1", 3]);
--- a/packages/node/test/fixtures.ts
+++ b/packages/node/test/fixtures.ts
@@ -1,4 +1,4 @@
-import { type EngineNews, FleetView, noLoad, type Upstream } from "@radishreel/fleet";
+import { type EngineStatus, FleetView, idleLoad, type Upstream } from "@radishreel/fleet";
 import type { Service } from "@radishreel/routing";
 import { type AccountBounds, AccountGuard, type AccountGuardOptions } from "../src/accounts/index.js";
 import { CrashGuard, type CrashGuardOptions } from "../src/crashes/index.js";
@@ -17,7 +17,7 @@
 }
 
 /** Creates a crash guard that knows no other VM. */
-export function createGuard(options: Partial<CrashGuardOptions> = {}): CrashGuard {
+export function createCrashGuard(options: Partial<CrashGuardOptions> = {}): CrashGuard {
     const readTime = options.readTime ?? (() => performance.now());
     return new CrashGuard({
         vm: "v",
@@ -28,7 +28,7 @@
         readTime,
         send: () => false,
         broadcast: () => {},
-        listReferees: () => ["v"],
+        listPermitIssuers: () => ["v"],
         onChange: () => {},
         onUpstreamEnd: () => {},
         ...options,
@@ -79,7 +79,7 @@
 }
 
 /** Creates the status of an engine from an owner that may send it orders. */
-export function createNews(engine: string, news: Partial<EngineNews> = {}): EngineNews {
+export function createEngineStatus(engine: string, news: Partial<EngineStatus> = {}): EngineStatus {
     return {
         engine,
         fence: 1,
@@ -92,7 +92,7 @@
         waitMs: 0,
         coldLoadMs: 250,
         warmLoadMs: 25,
-        load: noLoad,
+        load: idleLoad,
         ...news,
     };
 }
--- a/packages/node/test/group.ts
+++ b/packages/node/test/group.ts
@@ -2,8 +2,8 @@
 import { ok } from "neverthrow";
 import * as assert from "uvu/assert";
 import { BootClock, type Timers } from "../src/clock.js";
-import { type Handover, type LeaseQuery, type LeaseState, Owning } from "../src/ownership/owning.js";
-import type { EngineOrders, Member, ShardDeal } from "../src/ports.js";
+import { type Handover, type LeaseQuery, type LeaseState, ShardOwnership } from "../src/ownership/owning.js";
+import type { EngineOrders, Member, ShardAssignment } from "../src/ports.js";
 import { createSilentLog, createUpstream, engineService } from "./fixtures.js";
 import { Schedule } from "./schedule.js";
 
@@ -61,7 +61,7 @@
     suspendedUntil = 0;
     suspendedMs = 0;
     readonly incarnation: number;
-    readonly ownership: Owning;
+    readonly ownership: ShardOwnership;
     readonly knownIncarnations = new Map<string, number>();
     readonly leaving = new Set<string>();
 
@@ -72,10 +72,10 @@
             view.updateUpstream(createUpstream(name), 0);
         }
         const readTime = () => world.schedule.now - this.suspendedMs;
-        this.ownership = new Owning({
+        this.ownership = new ShardOwnership({
             vm,
             view,
-            claims: {
+            shardAssigner: {
                 shardCount,
                 renew: generation => world.renew(this, generation),
                 release: () => world.releaseAll(this),
@@ -85,12 +85,12 @@
             readTime,
             timers: this.createTimers(),
             bootClock: new BootClock({ readSteady: readTime, readWall: () => world.schedule.now }),
-            turnMs: holderGapMs,
+            holderGapMs,
             incarnation: this.incarnation,
             readIncarnation: other => this.knownIncarnations.get(other),
             findService: () => engineService,
-            sendNews: () => {},
-            sendAnswer: () => {},
+            sendStatuses: () => {},
+            sendReply: () => {},
             sendRelease: (shards, generation) => this.broadcast({ kind: "release", shards, generation }),
             sendQuery: query => this.broadcast({ kind: "query", query }),
             sendHandover: handover => this.sendHandover(handover),
@@ -331,7 +331,7 @@
         });
     }
 
-    async renew(process: VmProcess, _generation: number): Promise<ShardDeal | undefined> {
+    async renew(process: VmProcess, _generation: number): Promise<ShardAssignment | undefined> {
         await this.wait(process, 2);
         if (this.cutOff.has(process.vm)) {
             await this.wait(process, replyTimeoutMs);
@@ -496,7 +496,7 @@
             )
         ) {
             for (const engine of engineNames) {
-                ownership.engines.prepare(engine, {
+                ownership.engines.prepareAdapter(engine, {
                     key: `base/a${this.loadRequestCount}`,
                     version: 1,
                     runMs: 100,
--- a/packages/node/test/leaving.test.ts
+++ b/packages/node/test/leaving.test.ts
@@ -7,7 +7,7 @@
  * announcement, and the request's VM sends it. Whether an engine is leaving was checked only when it was chosen, not by
  * the owner, nor after the admission, nor when the request was written.
  */
-import { type AdmissionAnswer, FleetView, KeptParts, PauseThreshold, type Upstream } from "@radishreel/fleet";
+import { type AdmissionReply, FleetView, PauseThreshold, PrefixCache, type Upstream } from "@radishreel/fleet";
 import type { Route } from "@radishreel/routing";
 import { ok } from "neverthrow";
 import { test } from "uvu";
@@ -18,7 +18,7 @@
 import type { CallerExchange } from "../src/requests/caller.js";
 import { UpstreamChooser } from "../src/requests/choosing.js";
 import { createJob, type Job } from "../src/requests/job.js";
-import { createDigest, createNews, createSilentLog, createUpstream, engineService } from "./fixtures.js";
+import { createDigest, createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
 import { serveWhileChanging } from "./opening.js";
 
 const route: Route = {
@@ -59,7 +59,7 @@
     const view = new FleetView();
     const addEngine = (id: string): void => {
         view.updateUpstream(createUpstream(id), readSteady());
-        view.updateNews("owner", createNews(id), readSteady());
+        view.updateStatus("owner", createEngineStatus(id), readSteady());
     };
     addEngine("e1");
     const sent: AdmissionMessage[] = [];
@@ -69,7 +69,7 @@
             sent.push(message);
             if (message.type === "admit") {
                 const { ticket } = message.request;
-                admissions.receiveAnswer(
+                admissions.receiveReply(
                     "owner",
                     message.engine === "e1"
                         ? { kind: "queued", ticket, expectedMs: 200 }
@@ -83,7 +83,7 @@
         dataCentre: "z",
         view,
         admissions,
-        prefixCache: new KeptParts(),
+        prefixCache: new PrefixCache(),
         longPromptThreshold: new PauseThreshold(),
         log: createSilentLog(readSteady),
         readTime: readSteady,
@@ -104,7 +104,7 @@
     const { admissions, sent, ready, ticket, leave } = createWaiting();
     leave();
     // The owner of e1 does not know yet that e1 is leaving.
-    admissions.receiveAnswer("owner", { kind: "admitted", ticket, version: 1 });
+    admissions.receiveReply("owner", { kind: "admitted", ticket, version: 1 });
     assert.is((await ready)?.choice.state.upstream.id, "e2");
     assert.ok(sent.some(message => message.type === "ended" && message.ticket === ticket));
 });
@@ -112,7 +112,7 @@
 test("a request that is admitted at an engine which is deregistered by then goes to another engine", async () => {
     const { view, admissions, ready, ticket } = createWaiting();
     view.removeUpstream("e1");
-    admissions.receiveAnswer("owner", { kind: "admitted", ticket, version: 1 });
+    admissions.receiveReply("owner", { kind: "admitted", ticket, version: 1 });
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
 
@@ -127,7 +127,7 @@
 function createOwner() {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
-    const answers: AdmissionAnswer[] = [];
+    const answers: AdmissionReply[] = [];
     const orders: string[] = [];
     let sendReport: () => void = () => {};
     const engines = new OwnedEngines({
@@ -149,8 +149,8 @@
         findService: () => engineService,
         mayOrder: () => true,
         readFence: () => 7,
-        sendNews: () => {},
-        sendAnswer: (_vm, answer) => answers.push(answer),
+        sendStatuses: () => {},
+        sendReply: (_vm, answer) => answers.push(answer),
         countOthers: () => 2,
     });
     engines.update(() => true);
@@ -162,7 +162,11 @@
         ask: (ticket: number) => {
             const times = { runMs: 100, onTimeMs: 400, patienceMs: 4000, endMs: 9000 };
             const request = { ticket, model: "base", key: "base/a1", prefillTokens: 10, kvTokens: 20, ...times };
-            engines.receiveRequest("b", { type: "admit", engine: "e1", request: { ...request, hasLongAnswer: false } });
+            engines.receiveAdmissionMessage("b", {
+                type: "admit",
+                engine: "e1",
+                request: { ...request, hasLongAnswer: false },
+            });
         },
         report: async () => {
             sendReport();
@@ -178,7 +182,7 @@
     engines.update(() => true);
     ask(2);
     // A VM that does not know yet that e1 is leaving requests a newer version there.
-    engines.prepare("e1", { key: "base/a2", version: 2, runMs: 0, onTimeMs: 0 });
+    engines.prepareAdapter("e1", { key: "base/a2", version: 2, runMs: 0, onTimeMs: 0 });
     await report();
     engines.stop();
     assert.equal(answers.map(({ kind, ticket }) => [kind, ticket]), [["queued", 1], ["declined", 1], ["declined", 2]]);
--- a/packages/node/test/links.test.ts
+++ b/packages/node/test/links.test.ts
@@ -6,7 +6,7 @@
 import { setImmediate as waitTurn } from "node:timers/promises";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { HubWatch } from "../src/links/hub.js";
+import { HubMonitor } from "../src/links/hub.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import { Peers } from "../src/links/peers.js";
 import { type KnownMember, listWantedLinks } from "../src/links/wanted.js";
@@ -49,7 +49,7 @@
 });
 
 test("a VM that owns engines only for short assignments during startup does not link to all others", () => {
-    const hub = new HubWatch({ startedAt: 0 });
+    const hub = new HubMonitor({ startedAt: 0 });
     const linked: number[] = [];
     for (let now = 0; now < 3000; now += 250) {
         // Another VM joins every few milliseconds, and each new assignment gives this VM some shards or none.
@@ -64,7 +64,7 @@
 });
 
 test("a VM that has run for long links to all others as soon as it owns engines", () => {
-    const hub = new HubWatch({ startedAt: 0 });
+    const hub = new HubMonitor({ startedAt: 0 });
     assert.not(hub.update(false, 9000));
     assert.ok(hub.update(true, 9250));
 });
@@ -96,7 +96,7 @@
             readTime: () => this.now,
             onFrame: () => {},
             onBytes: () => {},
-            createGreeting: () => [],
+            createInitialMessages: () => [],
             onMessage: (from, message) => void received.push({ from, message }),
             onStart: () => {
                 vm.starts += 1;
--- a/packages/node/test/opening.ts
+++ b/packages/node/test/opening.ts
@@ -8,7 +8,7 @@
 import { CallerExchange } from "../src/requests/caller.js";
 import { ConnectionPool, type UpstreamConnection } from "../src/requests/connections.js";
 import { Serving } from "../src/requests/serving.js";
-import { createAccountGuard, createGuard, createSilentLog, createUpstream } from "./fixtures.js";
+import { createAccountGuard, createCrashGuard, createSilentLog, createUpstream } from "./fixtures.js";
 
 const readSteady = () => performance.now();
 
@@ -61,7 +61,7 @@
         lastEventId: undefined,
     }),
     createHeaders: (_headers, { identity }) => identity?.account === undefined ? [] : [accountHeader, identity.account],
-    parseAnswer: () => ({
+    parseResponse: () => ({
         requestId: "q",
         isNotRun: false,
         isMisdirected: false,
@@ -70,7 +70,7 @@
         isLeaving: false,
         askedRestMs: undefined,
     }),
-    listAnswerHeaders: () => [],
+    listResponseHeaders: () => [],
 };
 
 /** One route to two servers whose requests may not be retried. */
@@ -185,13 +185,13 @@
         readTime: readSteady,
         readBoot,
         admissions: new Admissions({ readTime: readSteady, send: () => true }),
-        guard: createGuard({ view, readTime: readSteady }),
+        guard: createCrashGuard({ view, readTime: readSteady }),
         accounts: createAccountGuard(cluster),
         isLinked: () => true,
         sendPreparation: () => {},
         sendMissing: () => {},
         onLeaving: () => {},
-        onRest: () => {},
+        onBackoff: () => {},
         onRefusal: () => {},
         onRetry: () => {},
         onChoice: () => {},
--- a/packages/node/test/rebirth.test.ts
+++ b/packages/node/test/rebirth.test.ts
@@ -4,7 +4,7 @@
 import * as assert from "uvu/assert";
 import { ClusterState } from "../src/knowledge/cluster.js";
 import type { ClusterChange } from "../src/ports.js";
-import { createNews, createSilentLog, createUpstream } from "./fixtures.js";
+import { createEngineStatus, createSilentLog, createUpstream } from "./fixtures.js";
 
 /** Creates the engine's entry for one incarnation. */
 function createIncarnation(bornAt: number, sequence: number): Upstream {
@@ -32,18 +32,21 @@
 test("a restarted upstream is a new upstream, and no state of its predecessor applies to it", () => {
     const { view, cluster, gone } = createVm();
     cluster.applyChanges([{ kind: "upstream", upstream: createIncarnation(1000, 9), position: 1 }]);
-    view.updateNews("owner", createNews("e1@1000", { revision: 5, held: { "m/a1": 1 } }), 0);
+    view.updateStatus("owner", createEngineStatus("e1@1000", { revision: 5, held: { "m/a1": 1 } }), 0);
     view.findUpstream("e1@1000")!.health.recordUnreachable(0);
     cluster.applyChanges([{ kind: "upstream", upstream: createIncarnation(2000, 0), position: 2 }]);
     assert.equal(gone, ["e1@1000"]);
     assert.equal(view.listUpstreams().map(({ upstream }) => upstream.id), ["e1@2000"]);
     const fresh = view.findUpstream("e1@2000")!;
-    assert.is(fresh.news, undefined);
+    assert.is(fresh.status, undefined);
     assert.is(fresh.owner, undefined);
     assert.is(fresh.warm.has("m/a1"), false);
     assert.is(fresh.health.isPaused(0), false);
-    assert.is(view.updateNews("owner", createNews("e1@1000", { revision: 6, held: { "m/a2": 1 } }), 0), false);
-    assert.is(fresh.news, undefined);
+    assert.is(
+        view.updateStatus("owner", createEngineStatus("e1@1000", { revision: 6, held: { "m/a2": 1 } }), 0),
+        false,
+    );
+    assert.is(fresh.status, undefined);
 });
 
 /** An event of one VM that follows an engine: entries and removals in any order, and statuses from owners. */
@@ -82,15 +85,15 @@
                 const outOfOrder = createVm();
                 for (const [index, step] of steps.entries()) {
                     if (step.kind === "news") {
-                        const news = createNews(`e1@${step.incarnation * 1000}`, {
+                        const status = createEngineStatus(`e1@${step.incarnation * 1000}`, {
                             revision: index,
                             held: { [`m/a${step.incarnation}`]: 1 },
                         });
-                        inOrder.view.updateNews("owner", news, 0);
+                        inOrder.view.updateStatus("owner", status, 0);
                     }
                     inOrder.cluster.applyChanges(changes.filter(({ position }) => position === index));
-                    for (const { upstream, news } of inOrder.view.listUpstreams()) {
-                        assert.ok(news === undefined || news.engine === upstream.id);
+                    for (const { upstream, status } of inOrder.view.listUpstreams()) {
+                        assert.ok(status === undefined || status.engine === upstream.id);
                     }
                 }
                 const shuffled = [...changes].sort((left, right) =>
--- a/packages/node/test/rests.test.ts
+++ b/packages/node/test/rests.test.ts
@@ -1,4 +1,4 @@
-import { FleetView, KeptParts, PauseThreshold } from "@radishreel/fleet";
+import { FleetView, PauseThreshold, PrefixCache } from "@radishreel/fleet";
 import type { Route } from "@radishreel/routing";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -6,7 +6,7 @@
 import type { CallerExchange } from "../src/requests/caller.js";
 import { UpstreamChooser } from "../src/requests/choosing.js";
 import { createJob } from "../src/requests/job.js";
-import { createDigest, createNews, createSilentLog, createUpstream, engineService } from "./fixtures.js";
+import { createDigest, createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
 import { serveWhileChanging } from "./opening.js";
 
 const readSteady = () => performance.now();
@@ -27,7 +27,7 @@
 
 test("nothing is written to an upstream that requests backoff before its connection is open", async () => {
     const { status, reached, first } = await serveWhileChanging({
-        onOpening: (view, upstream) => view.rests.record(upstream, 60_000, readSteady()),
+        onOpening: (view, upstream) => view.backoffs.record(upstream, 60_000, readSteady()),
     });
     assert.is(status, 200);
     assert.equal(reached, ["s1", "s2"].filter(id => id !== first));
@@ -38,7 +38,7 @@
     const view = new FleetView();
     const addEngine = (id: string): void => {
         view.updateUpstream(createUpstream(id), readSteady());
-        view.updateNews("owner", createNews(id), readSteady());
+        view.updateStatus("owner", createEngineStatus(id), readSteady());
     };
     addEngine("e1");
     const sent: AdmissionMessage[] = [];
@@ -48,7 +48,7 @@
             sent.push(message);
             if (message.type === "admit") {
                 const { ticket } = message.request;
-                admissions.receiveAnswer(
+                admissions.receiveReply(
                     "owner",
                     message.engine === "e1"
                         ? { kind: "queued", ticket, expectedMs: 200 }
@@ -62,7 +62,7 @@
         dataCentre: "z",
         view,
         admissions,
-        prefixCache: new KeptParts(),
+        prefixCache: new PrefixCache(),
         longPromptThreshold: new PauseThreshold(),
         log: createSilentLog(readSteady),
         readTime: readSteady,
@@ -93,15 +93,15 @@
 
 test("a request that is admitted at an engine which backs off from its VM by then goes to another engine", async () => {
     const { view, admissions, ready, ticket, addEngine } = createWaiting();
-    view.rests.record("e1", 60_000, readSteady());
+    view.backoffs.record("e1", 60_000, readSteady());
     addEngine("e2");
-    admissions.receiveAnswer("owner", { kind: "admitted", ticket, version: 1 });
+    admissions.receiveReply("owner", { kind: "admitted", ticket, version: 1 });
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
 
 test("a request that waits at an engine whose backoff exceeds the expected wait goes to another engine", async () => {
     const { view, ready, addEngine } = createWaiting();
-    view.rests.record("e1", 60_000, readSteady());
+    view.backoffs.record("e1", 60_000, readSteady());
     addEngine("e2");
     assert.is((await ready)?.choice.state.upstream.id, "e2");
 });
@@ -109,9 +109,9 @@
 test("an engine that backs off from one VM stays usable and is chosen again when the backoff ends", async () => {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
-    view.rests.record("e1", 3000, 0);
+    view.backoffs.record("e1", 3000, 0);
     assert.equal([view.isUsable("e1"), view.listUsable("llm").length], [true, 1]);
-    assert.equal([2999, 3000].map(now => view.listAwake("llm", now).length), [0, 1]);
+    assert.equal([2999, 3000].map(now => view.listAvailable("llm", now).length), [0, 1]);
     assert.is(view.findUpstream("e1")!.health.readFailureShare(3000), 0);
 });
 
--- a/packages/node/test/sharing.test.ts
+++ b/packages/node/test/sharing.test.ts
@@ -76,7 +76,7 @@
     private receive(vm: Vm, changes: readonly ClusterChange[]): void {
         const fresh = vm.cluster.applyChanges(changes);
         if (fresh.length > 0) {
-            vm.sharing.passChanges(fresh);
+            vm.sharing.forwardChanges(fresh);
         }
     }
 
@@ -147,11 +147,11 @@
             readTime,
             send: (to, message) => this.send(name, to, message),
             broadcast: message => others().forEach(to => this.send(name, to, message)),
-            sendNear: message =>
+            sendToDataCentre: message =>
                 this.vms.filter(vm => vm.name !== name && vm.isUp && vm.dataCentre === dataCentre)
                     .forEach(vm => this.send(name, vm.name, message)),
             listLinked: others,
-            readStoreQuietMs: () => 0,
+            readStoreSilenceMs: () => 0,
             listCrashReports: () => [...reports.values()],
         });
         const reading = { unread: [], unreadReports: [], reachesStore: true, isUp: true };
@@ -250,10 +250,10 @@
             reportCount += 1;
             broadcastCount += 1;
         },
-        sendNear: () => reportCount += 1,
+        sendToDataCentre: () => reportCount += 1,
         listCrashReports: () => [],
         listLinked: () => [],
-        readStoreQuietMs: () => 0,
+        readStoreSilenceMs: () => 0,
     });
     cluster.setReachable(true);
     for (; now < 1000; now += 10) {
--- a/packages/node/test/units.test.ts
+++ b/packages/node/test/units.test.ts
@@ -8,8 +8,8 @@
 import { DecisionLog } from "../src/decisions.js";
 import { ClusterState } from "../src/knowledge/cluster.js";
 import { Peers } from "../src/links/peers.js";
-import { type Handover, Owning } from "../src/ownership/owning.js";
-import type { ClusterChange, ShardClaims } from "../src/ports.js";
+import { type Handover, ShardOwnership } from "../src/ownership/owning.js";
+import type { ClusterChange, ShardAssigner } from "../src/ports.js";
 import { EventSplitter } from "../src/requests/events.js";
 import { readLastSendAt } from "../src/requests/patience.js";
 
@@ -240,26 +240,26 @@
 });
 
 /** Creates the shard ownership of a VM on a platform that assigns no shards. */
-function createOwnership(handedOver: Handover[], claims: Partial<ShardClaims> = {}): Owning {
+function createOwnership(handedOver: Handover[], shardAssigner: Partial<ShardAssigner> = {}): ShardOwnership {
     const view = new FleetView();
-    return new Owning({
+    return new ShardOwnership({
         vm: "a",
         view,
-        claims: {
+        shardAssigner: {
             shardCount: 4,
             renew: () => Promise.resolve(undefined),
             release: () => Promise.resolve(true),
-            ...claims,
+            ...shardAssigner,
         },
         orders: { send: () => Promise.resolve("unknown"), readReport: () => Promise.resolve(err("unknown")) },
         log: createLog(() => 0).log,
         readTime: () => 0,
-        turnMs: 100,
+        holderGapMs: 100,
         incarnation: 1,
         readIncarnation: () => undefined,
         findService: () => undefined,
-        sendNews: () => {},
-        sendAnswer: () => {},
+        sendStatuses: () => {},
+        sendReply: () => {},
         sendRelease: () => {},
         sendQuery: () => {},
         sendHandover: handover => handedOver.push(handover) > 0,
@@ -317,7 +317,7 @@
         readTime: () => 0,
         onFrame: () => {},
         onBytes: () => {},
-        createGreeting: () => {
+        createInitialMessages: () => {
             onOpen();
             return [];
         },
@@ -335,9 +335,9 @@
         peers.addPeer({ id: "b", address: `127.0.0.1:${port}` });
     });
     const peers = await opened;
-    assert.equal(peers.listHeirs(), ["b"]);
+    assert.equal(peers.listHandoverTargets(), ["b"]);
     peers.recordLeaving("b");
-    assert.equal(peers.listHeirs(), []);
+    assert.equal(peers.listHandoverTargets(), []);
     assert.equal(peers.listConnected(), ["b"]);
     peers.stop();
     other.stop();
--- a/packages/node/test/versionengine.ts
+++ b/packages/node/test/versionengine.ts
@@ -2,7 +2,7 @@
     type EngineOrder,
     type EngineReport,
     formatAdapterKey,
-    type OrderAnswer,
+    type OrderOutcome,
     prefillTokensPerMs,
 } from "@radishreel/fleet";
 import type { Schedule } from "./schedule.js";
@@ -78,7 +78,7 @@
         }
     }
 
-    apply(order: EngineOrder): OrderAnswer {
+    apply(order: EngineOrder): OrderOutcome {
         const key = formatAdapterKey(order.model, order.adapter!);
         const known = this.findRepeatedOutcome(order, key);
         if (known !== undefined) {
@@ -125,7 +125,7 @@
         };
     }
 
-    private findRepeatedOutcome(order: EngineOrder, key: string): OrderAnswer | undefined {
+    private findRepeatedOutcome(order: EngineOrder, key: string): OrderOutcome | undefined {
         const held = this.held.get(key);
         if (order.action === "unload") {
             return this.evicting.has(key) ? "accepted" : held === undefined ? "holds" : undefined;
--- a/packages/node/test/versionowner.ts
+++ b/packages/node/test/versionowner.ts
@@ -1,9 +1,9 @@
 import {
-    type AdmissionAnswer,
+    type AdmissionReply,
     type AdmissionRequest,
     EngineAdmission,
-    type EngineNews,
-    EnginePlaces,
+    EngineSlotPlanner,
+    type EngineStatus,
 } from "@radishreel/fleet";
 import { engineService } from "./fixtures.js";
 import { adapterSlots, type VersionEngine } from "./versionengine.js";
@@ -25,20 +25,20 @@
     readonly readFate: () => OrderFate;
     /** Schedules an order to be carried out later. */
     readonly delay: (run: () => void) => void;
-    readonly sendReply: (vm: string, answer: AdmissionAnswer) => void;
-    readonly sendStatus: (news: EngineNews) => void;
+    readonly sendReply: (vm: string, answer: AdmissionReply) => void;
+    readonly sendStatus: (news: EngineStatus) => void;
 }
 
 /** Owner of one simulated engine: plans its adapter slots, admits requests, and sends its status. */
 export class EngineOwner {
-    readonly slotPlanner: EnginePlaces;
+    readonly slotPlanner: EngineSlotPlanner;
     private readonly admission: EngineAdmission;
     private revision = 0;
     private lastStatusText = "";
 
     constructor(private readonly options: EngineOwnerOptions) {
         const { engine, held, readTime, mayUse, findNewest } = options;
-        this.slotPlanner = new EnginePlaces({
+        this.slotPlanner = new EngineSlotPlanner({
             limits: { ...engineService.engine!, adapterPlaces: adapterSlots },
             models: engine.readReport().models,
             held,
@@ -46,20 +46,20 @@
             now: readTime(),
             findNewest,
         });
-        this.admission = new EngineAdmission({ engine: engine.name, places: this.slotPlanner, mayUse });
+        this.admission = new EngineAdmission({ engine: engine.name, planner: this.slotPlanner, mayUse });
     }
 
     ask(vm: string, request: AdmissionRequest): void {
-        this.options.sendReply(vm, this.admission.ask(vm, request, this.options.readTime()));
+        this.options.sendReply(vm, this.admission.handleRequest(vm, request, this.options.readTime()));
         this.advance();
     }
 
     start(vm: string, ticket: number): void {
-        this.admission.begin(vm, ticket);
+        this.admission.finishPrefill(vm, ticket);
     }
 
     finish(vm: string, ticket: number): void {
-        this.admission.end(vm, ticket, this.options.readTime());
+        this.admission.finishRequest(vm, ticket, this.options.readTime());
     }
 
     recordMissing(key: string): void {
@@ -68,7 +68,7 @@
 
     /** Requests a load of a version that no request waits for. */
     prepare(key: string, version: number, lifeMs?: number): void {
-        this.slotPlanner.addWant({ key, version, runMs: 0, onTimeMs: 0, lifeMs }, this.options.readTime());
+        this.slotPlanner.addLoadRequest({ key, version, runMs: 0, onTimeMs: 0, lifeMs }, this.options.readTime());
     }
 
     /** Admits requests for which there is room, and sends the orders that are due. */
@@ -91,11 +91,11 @@
             const fate = this.options.readFate();
             if (fate === "late") {
                 this.options.delay(() => engine.apply(step.order));
-                this.slotPlanner.applyAnswer(step.order, "unknown", now);
+                this.slotPlanner.applyOutcome(step.order, "unknown", now);
                 continue;
             }
             const answer = engine.apply(step.order);
-            this.slotPlanner.applyAnswer(step.order, fate === "answered" ? answer : "unknown", now);
+            this.slotPlanner.applyOutcome(step.order, fate === "answered" ? answer : "unknown", now);
         }
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    createStatus(): EngineNews {
+    createStatus(): EngineStatus {
         const { slotPlanner, admission } = this;
         return {
             engine: this.options.engine.name,
@@ -120,8 +120,8 @@
             canOrder: true,
             isReachable: true,
             held: slotPlanner.listHeld(),
-            coming: slotPlanner.listComing(),
-            waitMs: Math.round(admission.readNextTurnMs(this.options.readTime())),
+            coming: slotPlanner.listLoading(),
+            waitMs: Math.round(admission.readNextLoadWaitMs(this.options.readTime())),
             coldLoadMs: Math.round(slotPlanner.readLoadMs(false)),
             warmLoadMs: Math.round(slotPlanner.readLoadMs(true)),
             load: { ...admission.load },
--- a/packages/node/test/versionvm.ts
+++ b/packages/node/test/versionvm.ts
@@ -1,8 +1,8 @@
 import {
-    type AdmissionAnswer,
+    type AdmissionReply,
     chooseEngine,
     type EngineChoiceOptions,
-    type EngineNews,
+    type EngineStatus,
     FleetView,
     type LoadHandle,
     type UpstreamChoice,
@@ -70,7 +70,7 @@
     readonly engine: string;
 }
 
-type ReplyListener = (answer: AdmissionAnswer | "lost") => void;
+type ReplyListener = (answer: AdmissionReply | "lost") => void;
 
 /** One simulated process of a VM, which learns versions, owns engines and serves requests. */
 export class VersionVm {
@@ -125,9 +125,9 @@
             readTime,
             send: (to, message) => world.sendMessage(vm, to, message),
             broadcast: message => this.broadcast(message, () => true),
-            sendNear: message => this.broadcast(message, other => other[0] === vm[0]),
+            sendToDataCentre: message => this.broadcast(message, other => other[0] === vm[0]),
             listLinked: () => world.listLinked(vm),
-            readStoreQuietMs: () => this.readTime() - this.storeRepliedAt,
+            readStoreSilenceMs: () => this.readTime() - this.storeRepliedAt,
             listCrashReports: () => [],
         });
         this.cluster.applyChanges(
@@ -186,11 +186,11 @@
         }
     }
 
-    receiveStatus(from: string, news: EngineNews): void {
-        this.view.updateNews(from, news, this.readTime());
+    receiveStatus(from: string, news: EngineStatus): void {
+        this.view.updateStatus(from, news, this.readTime());
     }
 
-    receiveReply(answer: AdmissionAnswer): void {
+    receiveReply(answer: AdmissionReply): void {
         this.listeners.get(answer.ticket)?.receive(answer);
     }
 
@@ -208,7 +208,7 @@
         const owner = new EngineOwner({
             engine,
             fence,
-            held: this.view.findUpstream(name)?.news?.held ?? {},
+            held: this.view.findUpstream(name)?.status?.held ?? {},
             readTime: () => this.readTime(),
             mayUse: (key, held, oldest) =>
                 held >= (oldest ?? -Infinity) && this.view.versions.mayUse(key, held, this.readBoot()),
@@ -222,7 +222,7 @@
         owner.sendChanges();
     }
 
-    sendStatus(news: EngineNews): void {
+    sendStatus(news: EngineStatus): void {
         this.receiveStatus(this.vm, news);
         for (const vm of this.world.listLinked(this.vm)) {
             this.world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveStatus(this.vm, news));
@@ -294,7 +294,7 @@
             return;
         }
         this.withdrawals.forEach(update => update());
-        this.sharing.passChanges(fresh);
+        this.sharing.forwardChanges(fresh);
         for (const change of fresh) {
             if (change.kind === "version") {
                 const holders = [...this.owned.values()].filter(({ slotPlanner }) =>
@@ -348,8 +348,8 @@
                 parts: [],
             },
             longPromptTokens: Infinity,
-            findKeptTokens: () => 0,
-            canAsk: state => this.canAsk(state),
+            findCachedTokens: () => 0,
+            canAskOwner: state => this.canAsk(state),
         };
         const choice = chooseEngine(options);
         const newest = this.view.versions.findNewest(call.key)?.version ?? 0;
@@ -402,7 +402,7 @@
             ticket: id,
             model,
             key: call.key,
-            version: this.view.versions.findOldest(call.key, this.readBoot()),
+            version: this.view.versions.findOldestUsable(call.key, this.readBoot()),
             prefillTokens: choice.prefillTokens,
             kvTokens: call.promptTokens + 50,
             hasLongAnswer: false,
@@ -426,7 +426,7 @@
         open: OpenCall,
         choice: UpstreamChoice,
         ticket: Ticket,
-        answer: AdmissionAnswer | "lost",
+        answer: AdmissionReply | "lost",
     ): void {
         const now = this.readTime();
         const { key } = open.call;
@@ -447,7 +447,7 @@
             this.view.updateLoad(ticket.engine, load, { key, version, isComing }, now);
             retry(0, 0);
         }
-        else if ((answer.version ?? Infinity) >= (this.view.versions.findOldest(key, this.readBoot()) ?? 0)) {
+        else if ((answer.version ?? Infinity) >= (this.view.versions.findOldestUsable(key, this.readBoot()) ?? 0)) {
             this.send(open, { ...choice, version: answer.version }, ticket);
         }
         else {
@@ -481,7 +481,7 @@
             if (!isFinished) {
                 isFinished = true;
                 this.withdrawals.delete(updateWithdrawal);
-                load.end();
+                load.finish();
                 this.endTicket(ticket);
                 run();
             }
@@ -512,9 +512,9 @@
             onStart: receive(() => {
                 if (!isFinished) {
                     hasStarted = true;
-                    load.begin();
+                    load.finishPrefill();
                     const paceMs = this.readTime() - attemptedAt;
-                    choice.state.health.recordPace(paceMs / Math.max(30, choice.costMs));
+                    choice.state.health.recordSlowdown(paceMs / Math.max(30, choice.costMs));
                     if (ticket !== undefined) {
                         this.world.sendTo(
                             this.vm,
--- a/packages/node/test/versionworld.ts
+++ b/packages/node/test/versionworld.ts
@@ -310,7 +310,7 @@
         for (const [from, to] of [[one, other], [other, one]] as const) {
             const vmProcess = this.processes.get(from)!;
             vmProcess.schedule(() => {
-                vmProcess.sharing.createGreeting(to).forEach(message => this.sendMessage(from, to, message));
+                vmProcess.sharing.createInitialMessages(to).forEach(message => this.sendMessage(from, to, message));
                 vmProcess.owned.forEach(owner =>
                     this.sendTo(from, to, target => target.receiveStatus(from, owner.createStatus()))
                 );
--- a/packages/node/test/words.test.ts
+++ b/packages/node/test/words.test.ts
@@ -4,10 +4,10 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { ClusterState } from "../src/knowledge/cluster.js";
-import { DepartureSharing } from "../src/knowledge/departures.js";
+import { LeavingUpstreamSharing } from "../src/knowledge/departures.js";
 import type { PeerMessage } from "../src/links/messages.js";
-import type { AnswerHead } from "../src/ports.js";
-import { readWords } from "../src/requests/words.js";
+import type { ResponseHead } from "../src/ports.js";
+import { readResponseMetadata } from "../src/requests/words.js";
 import { createSilentLog, createUpstream } from "./fixtures.js";
 
 /** Names that upstreams register under. Each upstream may restart under its name. */
@@ -16,7 +16,7 @@
 const service = { name: "desk", maxConnections: 10 };
 
 /** Responses by how they name request and upstream, and whether their metadata counts for the upstream. */
-const responses: Record<string, { head: (name: string) => Partial<AnswerHead>; countsForUpstream: boolean; }> = {
+const responses: Record<string, { head: (name: string) => Partial<ResponseHead>; countsForUpstream: boolean; }> = {
     plain: { head: () => ({ requestId: "q" }), countsForUpstream: true },
     unnamed: { head: () => ({}), countsForUpstream: true },
     refused: { head: () => ({ isNotRun: true }), countsForUpstream: true },
@@ -118,7 +118,7 @@
         const vm = this.vms[index]!;
         const id = formatUpstreamId(name, incarnation);
         const { head, countsForUpstream } = responses[form]!;
-        const metadata = readWords({
+        const metadata = readResponseMetadata({
             requestId: undefined,
             isNotRun: false,
             isMisdirected: false,
@@ -129,10 +129,10 @@
             ...head(name),
         }, { requestId: "q", upstreamName: name });
         if (metadata.askedRestMs !== undefined) {
-            vm.view.rests.record(id, metadata.askedRestMs, this.now);
+            vm.view.backoffs.record(id, metadata.askedRestMs, this.now);
         }
         if (metadata.isLeaving) {
-            vm.sharing.recordAnswer(id);
+            vm.sharing.recordResponse(id);
         }
         if (countsForUpstream && isLeaving) {
             vm.leaving.add(id);
@@ -145,7 +145,7 @@
     private check({ view, leaving, backoffEnds, sentMessages }: ReturnType<World["createVm"]>): void {
         const { now } = this;
         const chosen = chooseServer({ view, service, dataCentre: "z", now, penalties: new Map() });
-        const awake = new Set(view.listAwake("desk", now).map(({ upstream }) => upstream.id));
+        const awake = new Set(view.listAvailable("desk", now).map(({ upstream }) => upstream.id));
         assert.is(chosen !== undefined, awake.size > 0);
         for (const { upstream } of view.listUpstreams()) {
             const { id } = upstream;
@@ -169,7 +169,7 @@
             onMember: () => {},
         });
         cluster.setReachable(true);
-        const sharing = new DepartureSharing({
+        const sharing = new LeavingUpstreamSharing({
             view,
             log,
             readTime: () => this.now,
