--- a/packages/fleet/src/admission.ts
+++ b/packages/fleet/src/admission.ts
@@ -1,7 +1,7 @@
 import { defaultModelLoadMs } from "./basemodels.js";
 import { prefillTokensPerMs, readQueueMs } from "./choose.js";
 import { LoadCounter, type LoadHandle } from "./load.js";
-import { type EngineSlotPlanner } from "./places.js";
+import { type EngineSlotPlanner } from "./slotplanner.js";
 import type { AdmissionReply, AdmissionRequest, UpstreamLoad } from "./types.js";
 
 /**
--- a/packages/fleet/src/forecast.ts
+++ b/packages/fleet/src/forecast.ts
@@ -1,4 +1,4 @@
-import { DecayingCount } from "./rates.js";
+import { DecayingCount } from "./decayingcount.js";
 
 /** Adapters that an engine loads at a time, a limit of the engines' API. */
 export const maxConcurrentLoads = 4;
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -12,15 +12,14 @@
     readQueueMs,
     type UpstreamChoice,
 } from "./choose.js";
-export { type LeaseReason, maxOrderTransitMs, readShard, ShardLeases, type ShardLeasesOptions } from "./claims.js";
 export { UpstreamHealth } from "./health.js";
-export { PrefixCache } from "./kept.js";
 export { type CountedRequest, idleLoad, LoadCounter, type LoadHandle } from "./load.js";
+export { type LoadRequest } from "./loadqueue.js";
 export { LoadTimes } from "./loadtimes.js";
 export type { EngineOrder, EngineReport, OrderAction, OrderOutcome, PlannerStep } from "./orders.js";
-export { PauseThreshold, PromptHistory } from "./pauses.js";
+export { PauseThreshold, PromptHistory } from "./pausethreshold.js";
 export { PermitIssuer, type PermitIssuerOptions } from "./permits.js";
-export { EngineSlotPlanner, type EngineSlotPlannerOptions } from "./places.js";
+export { PrefixCache } from "./prefixcache.js";
 export {
     type Clearance,
     type Crash,
@@ -40,6 +39,8 @@
     readShareLeaseMs,
 } from "./quota.js";
 export { rankPreferredEngines } from "./rank.js";
+export { type LeaseReason, maxOrderTransitMs, readShard, ShardLeases, type ShardLeasesOptions } from "./shardleases.js";
+export { EngineSlotPlanner, type EngineSlotPlannerOptions } from "./slotplanner.js";
 export {
     type AdmissionReply,
     admissionReplySchema,
@@ -60,4 +61,3 @@
 } from "./types.js";
 export { AdapterVersions, defaultReplacedMs, firstVersion, type NamedVersion } from "./versions.js";
 export { FleetView, type UpstreamState } from "./view.js";
-export { type LoadRequest } from "./wants.js";
--- a/packages/fleet/src/places.ts
+++ b/packages/fleet/src/slotplanner.ts
@@ -1,8 +1,9 @@
 import type { EngineLimits } from "@radishreel/routing";
 import { BaseModels } from "./basemodels.js";
 import { LoadForecast, maxConcurrentLoads } from "./forecast.js";
-import { OrderScheduler, reportDelayMs } from "./ordering.js";
+import { LoadQueue, type LoadRequest, loadRequestTtlMs } from "./loadqueue.js";
 import type { EngineOrder, EngineReport, OrderAction, OrderOutcome, PlannerStep } from "./orders.js";
+import { OrderScheduler, reportDelayMs } from "./orderscheduler.js";
 import {
     type AdapterSlot,
     chooseEvictionCandidate,
@@ -10,10 +11,9 @@
     minPopularUses,
     readEvictablePopularity,
     type SlotCounts,
-} from "./place.js";
-import { checkPauseMs, SlotTable } from "./placetable.js";
+} from "./slot.js";
+import { checkPauseMs, SlotTable } from "./slottable.js";
 import { formatAdapterKey, type HeldModel, parseAdapterKey } from "./types.js";
-import { LoadQueue, type LoadRequest, loadRequestTtlMs } from "./wants.js";
 
 /** Number of slots kept free, so that a load need not wait for an eviction. */
 const reservedFreeSlots = 1;
--- a/packages/fleet/src/placetable.ts
+++ b/packages/fleet/src/slottable.ts
@@ -6,8 +6,8 @@
     readSlotVersion,
     recordSlotUse,
     type SlotCounts,
-} from "./place.js";
-import { WarmAdapters } from "./warm.js";
+} from "./slot.js";
+import { WarmAdapters } from "./warmadapters.js";
 
 /** Longest pause between two checks of a slow load or unload, in milliseconds. */
 const maxCheckPauseMs = 120;
--- a/packages/fleet/src/view.ts
+++ b/packages/fleet/src/view.ts
@@ -1,11 +1,11 @@
-import { LeavingUpstreams } from "./departures.js";
+import { UpstreamBackoffs } from "./backoffs.js";
 import { UpstreamHealth } from "./health.js";
+import { LeavingUpstreams } from "./leaving.js";
 import { type CountedRequest, idleLoad, LoadCounter, type LoadHandle } from "./load.js";
-import { PromptHistory } from "./pauses.js";
-import { UpstreamBackoffs } from "./rests.js";
+import { PromptHistory } from "./pausethreshold.js";
 import { type EngineStatus, formatAdapterKey, type Upstream, type UpstreamLoad } from "./types.js";
 import { AdapterVersions, type AdapterVersionsOptions } from "./versions.js";
-import { WarmAdapters } from "./warm.js";
+import { WarmAdapters } from "./warmadapters.js";
 
 /** One VM's view of one upstream. */
 export interface UpstreamState {
--- a/packages/fleet/test/admission.test.ts
+++ b/packages/fleet/test/admission.test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { type AddressedReply, type AdmissionRequest, EngineAdmission } from "../src/index.js";
-import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./simulatedengine.js";
 
 /** Creates a simulated engine with its slot planner and its admission. */
 function createAdmission(slots = 4) {
--- a/packages/fleet/test/rests.test.ts
+++ b/packages/fleet/test/backoffs.test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { UpstreamBackoffs } from "../src/rests.js";
+import { UpstreamBackoffs } from "../src/backoffs.js";
 
 test("an upstream backs off until the latest end that it has requested", () => {
     const backoffs = new UpstreamBackoffs();
--- a/packages/fleet/test/herd.test.ts
+++ b/packages/fleet/test/burst.test.ts
@@ -8,7 +8,7 @@
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { type BurstLoad, runBurst } from "./herd.js";
+import { type BurstLoad, runBurst } from "./burst.js";
 
 /** Requests for one busy adapter, at seven tenths of the prompt tokens that the engines with this adapter can read. */
 const load: BurstLoad = {
--- a/packages/fleet/test/herd.ts
+++ b/packages/fleet/test/burst.ts
@@ -1,6 +1,6 @@
 import { chooseEngine, EngineAdmission, EngineSlotPlanner, FleetView, prefillTokensPerMs } from "../src/index.js";
-import { createEngineStatus, createUpstream, limits, model } from "./engine.js";
-import { createRandom } from "./play.js";
+import { createEngineStatus, createUpstream, limits, model } from "./simulatedengine.js";
+import { createRandom } from "./workload.js";
 
 const adapter = "a1";
 const key = `${model}/${adapter}`;
--- a/packages/fleet/test/crashworld.ts
+++ b/packages/fleet/test/crashworld.ts
@@ -1,5 +1,5 @@
 import { type CrashReport, PermitIssuer, Quarantine } from "../src/index.js";
-import { createRandom } from "./play.js";
+import { createRandom } from "./workload.js";
 
 /** Options of a {@link CrashWorld}. */
 export interface CrashWorldOptions {
--- a/packages/fleet/test/hotset.test.ts
+++ b/packages/fleet/test/hotset.test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { runWorkload, type Workload, type WorkloadResult } from "./play.js";
+import { runWorkload, type Workload, type WorkloadResult } from "./workload.js";
 
 /**
  * One engine with 18 slots, and requests with runs of 0.9 s for 500 adapters by a Zipf distribution with exponent 1.2,
--- a/packages/fleet/test/crowded.test.ts
+++ b/packages/fleet/test/overload.test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { formatAdapterKey } from "../src/index.js";
-import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./simulatedengine.js";
 
 /**
  * One overloaded engine: requests with runs of 0.7 s and long runs of 1 to 8 s, each for another adapter, at 1.2 times
--- a/packages/fleet/test/places.test.ts
+++ b/packages/fleet/test/slotplanner.test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { type EngineOrder, EngineSlotPlanner, type LoadRequest } from "../src/index.js";
-import { createPlanner, limits, type OrderFate, runPlan, SimulatedEngine } from "./engine.js";
+import { createPlanner, limits, type OrderFate, runPlan, SimulatedEngine } from "./simulatedengine.js";
 
 function addLoadRequest(
     planner: EngineSlotPlanner,
--- a/packages/fleet/test/versions.test.ts
+++ b/packages/fleet/test/versions.test.ts
@@ -1,7 +1,14 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { AdapterVersions, EngineSlotPlanner, findUsableVersion, FleetView } from "../src/index.js";
-import { createEngineStatus, createPlanner, createUpstream, limits, runPlan, SimulatedEngine } from "./engine.js";
+import {
+    createEngineStatus,
+    createPlanner,
+    createUpstream,
+    limits,
+    runPlan,
+    SimulatedEngine,
+} from "./simulatedengine.js";
 
 const key = "base/a1";
 
--- a/packages/fleet/test/play.ts
+++ b/packages/fleet/test/workload.ts
@@ -1,5 +1,5 @@
 import { EngineAdmission, formatAdapterKey } from "../src/index.js";
-import { createPlanner, model, runPlan, SimulatedEngine } from "./engine.js";
+import { createPlanner, model, runPlan, SimulatedEngine } from "./simulatedengine.js";
 
 /** Step of simulated time, in milliseconds. */
 const stepMs = 5;
--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -12,10 +12,10 @@
 import type { AttemptEnd } from "../requests/attempt.js";
 import type { RefusalResponse } from "../requests/caller.js";
 import type { Job } from "../requests/job.js";
-import { readLastSendAt } from "../requests/patience.js";
+import { readLastSendAt } from "../requests/timelimit.js";
+import { CrashMonitor, type ProbeResult, type UpstreamEnd } from "./monitor.js";
 import { type PermitMessage, Permits } from "./permits.js";
 import { CrashReports } from "./reports.js";
-import { CrashMonitor, type ProbeResult, type UpstreamEnd } from "./watch.js";
 
 /**
  * Longest wait for a probe's result before a request whose run broke is sent to another upstream, in milliseconds: the
--- a/packages/node/src/crashes/reports.ts
+++ b/packages/node/src/crashes/reports.ts
@@ -10,7 +10,7 @@
 import type { DecisionLog } from "../decisions.js";
 import type { CrashReportStore } from "../ports.js";
 import type { RequestDigest } from "../requests/digest.js";
-import type { BrokenRun, UpstreamEnd } from "./watch.js";
+import type { BrokenRun, UpstreamEnd } from "./monitor.js";
 
 /**
  * How long clearances are collected before they are sent in one message, in milliseconds: all requests that ran on an
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -26,4 +26,4 @@
 export { NodeProgram } from "./program.js";
 export { UpstreamConnection } from "./requests/connections.js";
 export { EventSplitter, type StreamEvent } from "./requests/events.js";
-export { type ExpectedResponse, readResponseMetadata, type ResponseMetadata } from "./requests/words.js";
+export { type ExpectedResponse, readResponseMetadata, type ResponseMetadata } from "./requests/metadata.js";
--- a/packages/node/src/links/dispatcher.ts
+++ b/packages/node/src/links/dispatcher.ts
@@ -1,9 +1,9 @@
 import type { CrashReport, EngineStatus } from "@radishreel/fleet";
 import type { AccountGuard } from "../accounts/index.js";
 import type { CrashGuard } from "../crashes/index.js";
-import type { LeavingUpstreamSharing } from "../knowledge/departures.js";
+import type { LeavingUpstreamSharing } from "../knowledge/leavingupstreams.js";
 import type { ChangeSharing } from "../knowledge/sharing.js";
-import type { ShardOwnership } from "../ownership/owning.js";
+import type { ShardOwnership } from "../ownership/ownership.js";
 import type { ClusterChange } from "../ports.js";
 import type { Admissions } from "../requests/admissions.js";
 import type { PeerMessage } from "./messages.js";
--- a/packages/node/src/links/members.ts
+++ b/packages/node/src/links/members.ts
@@ -1,6 +1,6 @@
 import type { NodeIdentity } from "@radishreel/wire";
 import type { Member } from "../ports.js";
-import type { KnownMember } from "./wanted.js";
+import type { KnownMember } from "./topology.js";
 
 /** Other VMs that one VM knows, by address. Later updates add missing details; seeds have an address only. */
 export class KnownMembers {
--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -5,7 +5,7 @@
 import { chooseLinkLimits, linkTickMs } from "./linklimits.js";
 import { KnownMembers } from "./members.js";
 import { type PeerMessage, peerMessageSchema } from "./messages.js";
-import { isMesh, type KnownMember, listWantedLinks } from "./wanted.js";
+import { isMesh, type KnownMember, listWantedLinks } from "./topology.js";
 
 /**
  * Longest delay between two attempts to reach a VM, in milliseconds. Without this limit, links may open up
--- a/packages/node/src/metrics.ts
+++ b/packages/node/src/metrics.ts
@@ -1,6 +1,6 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { AccountVerdict } from "./accounts/index.js";
-import type { LeaseEvent } from "./ownership/owning.js";
+import type { LeaseEvent } from "./ownership/ownership.js";
 import type { RefusalReason } from "./requests/caller.js";
 
 /** Histogram buckets for the delay of timers, in seconds. The shortest latency target is about 0.12 s. */
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -4,7 +4,7 @@
 import type { ConnectionPool, UpstreamConnection } from "./connections.js";
 import { EventSplitter, type StreamEvent } from "./events.js";
 import { Exchange, type ExchangePhase, type ExchangeReceiver } from "./exchange.js";
-import { readResponseMetadata, type ResponseMetadata } from "./words.js";
+import { readResponseMetadata, type ResponseMetadata } from "./metadata.js";
 
 /** Maximum bytes of a plain response that are buffered until it is complete; larger responses are streamed. */
 const maxBufferedBytes = 256 * 1024;
--- a/packages/node/src/requests/choosing.ts
+++ b/packages/node/src/requests/chooser.ts
@@ -15,7 +15,7 @@
 import type { DecisionLog } from "../decisions.js";
 import type { Admission, AdmissionDetails, AdmissionOutcome, Admissions } from "./admissions.js";
 import type { Job, Preparation, ReadyUpstream, TriedUpstream } from "./job.js";
-import { readLastSendAt } from "./patience.js";
+import { readLastSendAt } from "./timelimit.js";
 
 /** Interval at which a request without any available upstream chooses again, in milliseconds. */
 const recheckIntervalMs = 100;
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -18,13 +18,13 @@
 import type { Admissions } from "./admissions.js";
 import { Attempt, type AttemptEnd, createBodyHeaders } from "./attempt.js";
 import type { CallerExchange, RefusalReason, RefusalResponse } from "./caller.js";
-import { UpstreamChooser } from "./choosing.js";
+import { UpstreamChooser } from "./chooser.js";
 import type { ConnectionPool } from "./connections.js";
 import { RequestDigest } from "./digest.js";
 import { withdrawnDetail } from "./exchange.js";
 import { createJob, type Job, type Preparation, type ReadyUpstream } from "./job.js";
-import { minAttemptMs, readLastSendAt } from "./patience.js";
-import { emptyMetadata, type ResponseMetadata } from "./words.js";
+import { emptyMetadata, type ResponseMetadata } from "./metadata.js";
+import { minAttemptMs, readLastSendAt } from "./timelimit.js";
 
 /** Maximum rejections of one request by upstreams before it is refused. Rejected requests did not run. */
 const maxRejections = 6;
--- a/packages/node/test/attempt.test.ts
+++ b/packages/node/test/attempt.test.ts
@@ -6,7 +6,7 @@
 import { Attempt, type AttemptEnd } from "../src/requests/attempt.js";
 import { CallerExchange } from "../src/requests/caller.js";
 import { ConnectionPool } from "../src/requests/connections.js";
-import { plainDialect, plainRouting } from "./opening.js";
+import { plainDialect, plainRouting } from "./changingserver.js";
 
 const readTime = () => performance.now();
 
--- a/packages/node/test/rests.test.ts
+++ b/packages/node/test/backoffs.test.ts
@@ -4,10 +4,10 @@
 import * as assert from "uvu/assert";
 import { type AdmissionMessage, Admissions } from "../src/requests/admissions.js";
 import type { CallerExchange } from "../src/requests/caller.js";
-import { UpstreamChooser } from "../src/requests/choosing.js";
+import { UpstreamChooser } from "../src/requests/chooser.js";
 import { createJob } from "../src/requests/job.js";
+import { serveWhileChanging } from "./changingserver.js";
 import { createDigest, createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
-import { serveWhileChanging } from "./opening.js";
 
 const readSteady = () => performance.now();
 
--- a/packages/node/test/crashwatch.test.ts
+++ b/packages/node/test/crashmonitor.test.ts
@@ -3,7 +3,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { Timers } from "../src/clock.js";
-import { type BrokenRun, CrashMonitor, type ProbeResult, type UpstreamEnd } from "../src/crashes/watch.js";
+import { type BrokenRun, CrashMonitor, type ProbeResult, type UpstreamEnd } from "../src/crashes/monitor.js";
 import { createDigest, createUpstream } from "./fixtures.js";
 
 /** Creates a monitor whose timers and probe results are controlled by the test. */
--- a/packages/node/test/leaving.test.ts
+++ b/packages/node/test/leaving.test.ts
@@ -16,10 +16,10 @@
 import type { ClusterChange } from "../src/ports.js";
 import { type AdmissionMessage, Admissions } from "../src/requests/admissions.js";
 import type { CallerExchange } from "../src/requests/caller.js";
-import { UpstreamChooser } from "../src/requests/choosing.js";
+import { UpstreamChooser } from "../src/requests/chooser.js";
 import { createJob, type Job } from "../src/requests/job.js";
+import { serveWhileChanging } from "./changingserver.js";
 import { createDigest, createEngineStatus, createSilentLog, createUpstream, engineService } from "./fixtures.js";
-import { serveWhileChanging } from "./opening.js";
 
 const route: Route = {
     name: "r",
--- a/packages/node/test/departures.test.ts
+++ b/packages/node/test/leavingupstreams.test.ts
@@ -1,7 +1,7 @@
 import { FleetView } from "@radishreel/fleet";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LeavingUpstreamSharing } from "../src/knowledge/departures.js";
+import { LeavingUpstreamSharing } from "../src/knowledge/leavingupstreams.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import { createSilentLog, createUpstream } from "./fixtures.js";
 
--- a/packages/node/test/links.test.ts
+++ b/packages/node/test/links.test.ts
@@ -9,7 +9,7 @@
 import { HubMonitor } from "../src/links/hub.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import { Peers } from "../src/links/peers.js";
-import { type KnownMember, listWantedLinks } from "../src/links/wanted.js";
+import { type KnownMember, listWantedLinks } from "../src/links/topology.js";
 import { createSilentLog } from "./fixtures.js";
 
 const dataCentres = 6;
--- a/packages/node/test/words.test.ts
+++ b/packages/node/test/metadata.test.ts
@@ -4,10 +4,10 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { ClusterState } from "../src/knowledge/cluster.js";
-import { LeavingUpstreamSharing } from "../src/knowledge/departures.js";
+import { LeavingUpstreamSharing } from "../src/knowledge/leavingupstreams.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import type { ResponseHead } from "../src/ports.js";
-import { readResponseMetadata } from "../src/requests/words.js";
+import { readResponseMetadata } from "../src/requests/metadata.js";
 import { createSilentLog, createUpstream } from "./fixtures.js";
 
 /** Names that upstreams register under. Each upstream may restart under its name. */
--- a/packages/node/test/pressure.test.ts
+++ b/packages/node/test/overload.test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { DecisionLog } from "../src/decisions.js";
-import { OverloadMonitor } from "../src/pressure.js";
+import { OverloadMonitor } from "../src/overload.js";
 
 test("the work in the log lines of a VM adds up to its total work", () => {
     let now = 0;
--- a/packages/node/test/ownership.test.ts
+++ b/packages/node/test/ownership.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { shardCount, World } from "./group.js";
+import { shardCount, World } from "./shardgroup.js";
 
 // Guards against two VMs that give orders to one engine at the same time. The comment at a test describes the order of
 // events that leads to this failure.
--- a/packages/node/test/group.ts
+++ b/packages/node/test/shardgroup.ts
@@ -2,7 +2,7 @@
 import { ok } from "neverthrow";
 import * as assert from "uvu/assert";
 import { BootClock, type Timers } from "../src/clock.js";
-import { type Handover, type LeaseQuery, type LeaseState, ShardOwnership } from "../src/ownership/owning.js";
+import { type Handover, type LeaseQuery, type LeaseState, ShardOwnership } from "../src/ownership/ownership.js";
 import type { EngineOrders, Member, ShardAssignment } from "../src/ports.js";
 import { createSilentLog, createUpstream, engineService } from "./fixtures.js";
 import { Schedule } from "./schedule.js";
--- a/packages/node/test/units.test.ts
+++ b/packages/node/test/units.test.ts
@@ -8,10 +8,10 @@
 import { DecisionLog } from "../src/decisions.js";
 import { ClusterState } from "../src/knowledge/cluster.js";
 import { Peers } from "../src/links/peers.js";
-import { type Handover, ShardOwnership } from "../src/ownership/owning.js";
+import { type Handover, ShardOwnership } from "../src/ownership/ownership.js";
 import type { ClusterChange, ShardAssigner } from "../src/ports.js";
 import { EventSplitter } from "../src/requests/events.js";
-import { readLastSendAt } from "../src/requests/patience.js";
+import { readLastSendAt } from "../src/requests/timelimit.js";
 
 test("an event splitter returns whole events in order, at whatever boundaries the bytes arrive", () => {
     const text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid: 3\r\ndata: d\r\n\r\n";
--- a/packages/node/test/versions.test.ts
+++ b/packages/node/test/versions.test.ts
@@ -4,8 +4,8 @@
 import { ClusterState } from "../src/knowledge/cluster.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import type { ClusterChange } from "../src/ports.js";
+import { plainRouting, serveWhileChanging } from "./changingserver.js";
 import { createAccountGuard, createSilentLog, engineService } from "./fixtures.js";
-import { plainRouting, serveWhileChanging } from "./opening.js";
 
 const key = "base/a1";
 const nothingRead = { operator: -1, upstreams: -1 };
--- a/packages/node/test/withdrawal.test.ts
+++ b/packages/node/test/withdrawal.test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { ClusterChange } from "../src/ports.js";
-import { plainRouting, serveWhileChanging } from "./opening.js";
+import { plainRouting, serveWhileChanging } from "./changingserver.js";
 
 function createRouting(version: number, accounts: Account[]): ClusterChange {
     return { kind: "routing", routing: { ...plainRouting, version, accounts }, position: version + 1 };
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -2,7 +2,7 @@
 export { type ListenAddress, parseAddress } from "./address.js";
 export { LinkClient, type LinkClientOptions } from "./client.js";
 export { encodeFrame, frameHeaderBytes, FrameReader } from "./frame.js";
-export { checkProof, createHello, createProof, type Hello } from "./greeting.js";
+export { checkProof, createHello, createProof, type Hello } from "./handshake.js";
 export { Link, type LinkEvents, type LinkOptions } from "./link.js";
 export { LinkServer, type LinkServerOptions } from "./server.js";
 export { LinkTicker } from "./ticker.js";
--- a/packages/wire/src/link.ts
+++ b/packages/wire/src/link.ts
@@ -2,7 +2,7 @@
 import { createMachine, interpret, state, transition } from "robot3";
 import type { z } from "zod";
 import { encodeFrame, FrameReader } from "./frame.js";
-import { checkProof, createHello, createProof, type Hello, helloSchema, proofSchema } from "./greeting.js";
+import { checkProof, createHello, createProof, type Hello, helloSchema, proofSchema } from "./handshake.js";
 import { LinkTicker } from "./ticker.js";
 import { type CloseReason, type LinkLimits, type NodeIdentity, protocolVersion } from "./types.js";
 
