--- a/packages/fleet/src/admission.ts
+++ b/packages/fleet/src/admission.ts
@@ -59,7 +59,7 @@
 /** A reply and the VM that receives it. */
 export interface AddressedReply {
     readonly vm: string;
-    readonly answer: AdmissionReply;
+    readonly reply: AdmissionReply;
 }
 
 /** Options of {@link EngineAdmission}. */
@@ -144,18 +144,18 @@
 
     /** Admits queued requests whose adapter is loaded, and declines those that cannot be served in time any more. */
     advance(now: number): AddressedReply[] {
-        const answers: AddressedReply[] = [];
+        const replies: AddressedReply[] = [];
         for (const [id, ticket] of this.tickets) {
             if (!isWaiting(ticket)) {
                 this.expireRun(id, ticket, now);
                 continue;
             }
-            const answer = this.checkWaiting(ticket, now);
-            if (answer !== undefined) {
-                answers.push({ vm: ticket.vm, answer });
+            const reply = this.checkWaiting(ticket, now);
+            if (reply !== undefined) {
+                replies.push({ vm: ticket.vm, reply });
             }
         }
-        return answers;
+        return replies;
     }
 
     /** Records that the prompt of a request is prefilled. */
@@ -204,7 +204,7 @@
         const waiting = [...this.tickets.values()].filter(isWaiting);
         return waiting.map(ticket => {
             this.remove(ticket);
-            return { vm: ticket.vm, answer: { kind: "declined", ticket: ticket.request.ticket, expectedMs } };
+            return { vm: ticket.vm, reply: { kind: "declined", ticket: ticket.request.ticket, expectedMs } };
         });
     }
 
--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -11,7 +11,7 @@
  */
 const activeCostMs = 1.5;
 
-/** Cost of a request that does not fit into an engine's memory beside the others, in milliseconds: it preempts one. */
+/** Cost of a request for which an engine must preempt another request, since its memory is full, in milliseconds. */
 const preemptionCostMs = 1500;
 
 /** Share of an engine's KV memory that requests may fill; the prefix cache uses the rest. */
@@ -40,7 +40,7 @@
 
 /**
  * Cost of each rank below an adapter's preferred engine when the adapter must be loaded from the weight store, in
- * milliseconds. If no VM knows which engine held the adapter recently, the preferred engine is the likely one, and VMs
+ * milliseconds. If no VM knows which engine held the adapter recently, the preferred engine is the most likely, and VMs
  * that request admission at the same time agree on it. At 110 ms the preference outweighs the load of the engines.
  */
 const preferenceRankCostMs = 30;
@@ -231,13 +231,13 @@
     const cachedTokens = isReady ? options.findCachedTokens(state.upstream.id) : 0;
     const prefillTokens = Math.max(0, demand.promptTokens - cachedTokens);
     const neededKv = load.kvTokens + demand.promptTokens + demand.outputTokens;
-    const isOverfull = neededKv > limits.kvTokens * kvFillShare || load.active >= limits.batchSlots;
+    const exceedsCapacity = neededKv > limits.kvTokens * kvFillShare || load.active >= limits.batchSlots;
     const queueMs = readQueueMs(load);
     const readMs = prefillTokens / prefillTokensPerMs;
     // The engine reads the prompts ahead of this one while it loads the adapter.
     const waitMs = isReady ? queueMs : Math.max(queueMs, readLoadCost(view, state, key, preferenceRank));
     const costMs = (waitMs + readMs) * state.health.readSlowdown(now)
-        + (isOverfull ? preemptionCostMs : 0)
+        + (exceedsCapacity ? preemptionCostMs : 0)
         + (isSecondCopy ? secondCopyCostMs : 0)
         + readCommonCost(options, state);
     if (version !== undefined && !mayStartInTime(options, key, version, costMs)) {
--- a/packages/fleet/src/pausethreshold.ts
+++ b/packages/fleet/src/pausethreshold.ts
@@ -36,13 +36,13 @@
     /**
      * Records a finished stream.
      * @param largestPrompt Largest prompt that the engine prefilled during the stream, in tokens.
-     * @param wasHeldUp Whether the stream paused for longer than allowed.
+     * @param hasLongPause Whether the stream paused for longer than allowed.
      */
-    record(largestPrompt: number, wasHeldUp: boolean): void {
-        if (wasHeldUp && largestPrompt < this.threshold && largestPrompt > this.threshold * relevantShare) {
+    record(largestPrompt: number, hasLongPause: boolean): void {
+        if (hasLongPause && largestPrompt < this.threshold && largestPrompt > this.threshold * relevantShare) {
             this.threshold = Math.max(minThresholdTokens, this.threshold * lowerFactor);
         }
-        if (!wasHeldUp && largestPrompt >= this.threshold) {
+        if (!hasLongPause && largestPrompt >= this.threshold) {
             this.threshold = Math.min(maxThresholdTokens, this.threshold * raiseFactor);
         }
     }
--- a/packages/fleet/src/permits.ts
+++ b/packages/fleet/src/permits.ts
@@ -1,5 +1,5 @@
 /** A permit that was not released expires after this time, in milliseconds: its VM is assumed to be gone. */
-const defaultLifeMs = 20_000;
+const defaultLifetimeMs = 20_000;
 
 /** The VM and the ticket that may run a suspect request. */
 interface Permit {
@@ -10,7 +10,7 @@
 
 /** Options of {@link PermitIssuer}. */
 export interface PermitIssuerOptions {
-    /** Longest life of a permit, in milliseconds. @default 20000 */
+    /** Longest lifetime of a permit, in milliseconds. @default 20000 */
     readonly lifeMs?: number | undefined;
 }
 
@@ -23,7 +23,7 @@
     private readonly lifeMs: number;
 
     constructor({ lifeMs }: PermitIssuerOptions = {}) {
-        this.lifeMs = lifeMs ?? defaultLifeMs;
+        this.lifeMs = lifeMs ?? defaultLifetimeMs;
     }
 
     /** Suspect requests that hold a permit. */
--- a/packages/fleet/src/prefixcache.ts
+++ b/packages/fleet/src/prefixcache.ts
@@ -4,7 +4,7 @@
  * Time after its last use for which a part is assumed to be cached, in milliseconds. Engines drop the least recently
  * used.
  */
-const partLifeMs = 20_000;
+const partLifetimeMs = 20_000;
 
 /** Most parts tracked for one engine: an engine's memory holds some hundred parts of 2,000 tokens. */
 const maxParts = 400;
@@ -36,7 +36,7 @@
         let tokens = 0;
         for (const part of demand.parts) {
             const usedAt = parts?.get(formatPartKey(demand, part));
-            if (usedAt === undefined || now - usedAt > partLifeMs) {
+            if (usedAt === undefined || now - usedAt > partLifetimeMs) {
                 break;
             }
             tokens += part.tokens;
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -8,7 +8,7 @@
  * milliseconds. Long enough that a caller who repeats a request every few minutes cannot end upstreams all day, and
  * short enough that a repaired upstream soon gets the request again.
  */
-const defaultLifeMs = 1_800_000;
+const defaultLifetimeMs = 1_800_000;
 
 /**
  * Age up to which reports are sent to a VM when a link to it opens, in milliseconds. Older reports are sent only if a
@@ -108,7 +108,7 @@
 
     constructor({ maxEnds, lifeMs, maxRequests }: QuarantineOptions = {}) {
         this.maxEnds = maxEnds ?? defaultMaxEnds;
-        this.lifeMs = lifeMs ?? defaultLifeMs;
+        this.lifeMs = lifeMs ?? defaultLifetimeMs;
         this.maxRequests = maxRequests ?? defaultMaxRequests;
     }
 
--- a/packages/fleet/src/shardleases.ts
+++ b/packages/fleet/src/shardleases.ts
@@ -231,7 +231,7 @@
     }
 
     /**
-     * Gives up the shards that were handed over, since the VM to which they are assigned runs again, and returns them.
+     * Releases the shards that were handed over, since the VM to which they are assigned runs again, and returns them.
      */
     revokeHandovers(now: number): number[] {
         return [...this.leases].filter(([, lease]) => lease.isHandover)
@@ -239,7 +239,7 @@
             .filter(shard => this.endLease(shard, now));
     }
 
-    /** Gives up shards that the store has assigned to another VM, and returns them. */
+    /** Releases shards that the store has assigned to another VM, and returns them. */
     revokeShards(shards: readonly number[], generation: number, now: number): number[] {
         this.recordGeneration(generation);
         if (generation <= this.generation) {
@@ -366,7 +366,7 @@
         this.validUntil = 0;
     }
 
-    /** Gives up all shards in a planned stop. */
+    /** Releases all shards in a planned stop. */
     releaseAll(now: number): void {
         this.pause();
         for (const shard of this.listShards()) {
--- a/packages/fleet/src/slotplanner.ts
+++ b/packages/fleet/src/slotplanner.ts
@@ -251,7 +251,7 @@
     }
 
     /**
-     * A report shows when the model is loaded. Each report has a price, so the first is scheduled after the shortest
+     * A report shows when the model is loaded. Each report has a cost, so the first is scheduled after the shortest
      * load time.
      */
     private applyModelOutcome(model: string, outcome: OrderOutcome, now: number): void {
@@ -276,7 +276,7 @@
                 reported.set(formatAdapterKey(model.name, adapter.name), adapter.version);
             }
         }
-        // A report is always current for unknown adapters, also right after the start of a process, whose clock begins
+        // A report is always current for unknown adapters, also right after the start of a process, whose clock starts
         // at 0.
         const isReportCurrent = (key: string): boolean =>
             askedAt - (this.slots.find(key)?.changedAt ?? -Infinity) >= reportDelayMs;
@@ -417,7 +417,7 @@
             if (candidate === undefined) {
                 return;
             }
-            this.beginEviction(candidate, now);
+            this.startEviction(candidate, now);
         }
     }
 
@@ -429,7 +429,7 @@
     private planReplacements(now: number, countUses: (key: string) => number): void {
         for (const [key, slot] of this.slots.entries) {
             if (slot.state === "loaded" && this.isOutdated(key, slot) && countUses(key) === 0) {
-                this.beginEviction(key, now);
+                this.startEviction(key, now);
             }
         }
     }
@@ -439,7 +439,7 @@
         return (this.queue.find(key)?.version ?? 0) > slot.version;
     }
 
-    private beginEviction(key: string, now: number): void {
+    private startEviction(key: string, now: number): void {
         const slot = this.slots.find(key)!;
         this.slots.update(key, slot.version, "retiring", now);
     }
--- a/packages/fleet/test/admission.test.ts
+++ b/packages/fleet/test/admission.test.ts
@@ -13,17 +13,17 @@
         planner,
         mayUse: (key, held, oldest) => held >= Math.max(oldest ?? 0, newest.get(key) ?? 0),
     });
-    const answers: AddressedReply[] = [];
+    const replies: AddressedReply[] = [];
     const run = (ms: number): void => {
         for (let elapsed = 0; elapsed < ms; elapsed += 10) {
             engine.advance(10);
             engine.countRuns = key => admission.countUses(key);
             runPlan(engine, planner, () => "answered");
-            answers.push(...admission.advance(engine.now));
+            replies.push(...admission.advance(engine.now));
         }
     };
     run(10);
-    return { engine, planner, admission, answers, newest, run };
+    return { engine, planner, admission, replies, newest, run };
 }
 
 function createRequest(ticket: number, request: Partial<AdmissionRequest> = {}): AdmissionRequest {
@@ -43,11 +43,11 @@
 }
 
 test("a request is admitted at once if its adapter is loaded, and otherwise once the load is complete", () => {
-    const { admission, answers, run, engine } = createAdmission();
+    const { admission, replies, run, engine } = createAdmission();
     const first = admission.handleRequest("a", createRequest(1), engine.now);
     assert.is(first.kind, "queued");
     run(300);
-    assert.equal(answers, [{ vm: "a", answer: { kind: "admitted", ticket: 1, version: 1 } }]);
+    assert.equal(replies, [{ vm: "a", reply: { kind: "admitted", ticket: 1, version: 1 } }]);
     const second = admission.handleRequest("b", createRequest(2, { key: `${model}/a1` }), engine.now);
     assert.equal(second, { kind: "admitted", ticket: 2, version: 1 });
     assert.is(admission.countUses(`${model}/a1`), 2);
@@ -80,25 +80,25 @@
     }
     run(400);
     assert.is(admission.load.active, 2);
-    const answer = admission.handleRequest("a", createRequest(3, { patienceMs: 1500 }), engine.now);
-    assert.is(answer.kind, "declined");
-    assert.ok(answer.kind === "declined" && answer.expectedMs > 5000 && answer.expectedMs < 9000);
+    const reply = admission.handleRequest("a", createRequest(3, { patienceMs: 1500 }), engine.now);
+    assert.is(reply.kind, "declined");
+    assert.ok(reply.kind === "declined" && reply.expectedMs > 5000 && reply.expectedMs < 9000);
     const queued = admission.handleRequest("a", createRequest(4, { patienceMs: 7900 }), engine.now);
     assert.is(queued.kind, "queued");
 });
 
 test("a queued request is declined once its expected wait exceeds its time limit, not when the limit ends", () => {
-    const { admission, run, engine, answers } = createAdmission(1);
+    const { admission, run, engine, replies } = createAdmission(1);
     admission.handleRequest("a", createRequest(1, { runMs: 600 }), engine.now);
     run(300);
-    answers.length = 0;
+    replies.length = 0;
     admission.handleRequest("a", createRequest(2, { patienceMs: 1200 }), engine.now);
     // The running request takes far longer than its caller estimated.
     run(600);
-    const declined = answers.findIndex(({ answer }) => answer.kind === "declined");
+    const declined = replies.findIndex(({ reply: reply }) => reply.kind === "declined");
     assert.is(declined >= 0 || engine.now < 1500, true);
     run(700);
-    assert.equal(answers.map(({ answer }) => [answer.kind, answer.ticket]), [["declined", 2]]);
+    assert.equal(replies.map(({ reply: reply }) => [reply.kind, reply.ticket]), [["declined", 2]]);
 });
 
 test("an adapter counts as in use until the latest possible end of a request whose VM is gone", () => {
@@ -128,27 +128,27 @@
 });
 
 test("a queued request stays queued when its VM reports its running requests again", () => {
-    const { admission, run, engine, answers } = createAdmission();
+    const { admission, run, engine, replies } = createAdmission();
     admission.handleRequest("a", createRequest(1), engine.now);
     run(100);
     admission.setRuns("a", [], engine.now);
     run(300);
-    assert.equal(answers.map(({ answer }) => [answer.kind, answer.ticket]), [["admitted", 1]]);
+    assert.equal(replies.map(({ reply: reply }) => [reply.kind, reply.ticket]), [["admitted", 1]]);
 });
 
 test("a request that needs the newest version is not admitted to an older version", () => {
-    const { admission, run, engine, answers, newest } = createAdmission();
+    const { admission, run, engine, replies, newest } = createAdmission();
     admission.handleRequest("a", createRequest(1), engine.now);
     run(300);
     admission.finishRequest("a", 1, engine.now);
     newest.set(`${model}/a1`, 2);
-    answers.length = 0;
+    replies.length = 0;
     assert.is(
         admission.handleRequest("a", createRequest(2, { key: `${model}/a1`, version: 2 }), engine.now).kind,
         "queued",
     );
     run(700);
-    assert.equal(answers.map(({ answer }) => answer), [{ kind: "admitted", ticket: 2, version: 2 }]);
+    assert.equal(replies.map(({ reply: reply }) => reply), [{ kind: "admitted", ticket: 2, version: 2 }]);
 });
 
 test("a request for a base model is declined when the engine no longer holds the model", () => {
@@ -163,7 +163,7 @@
  * the other.
  */
 test("a request is not queued behind others for the same adapter for longer than its VM expects", () => {
-    const { admission, answers, run, engine } = createAdmission();
+    const { admission, replies, run, engine } = createAdmission();
     const request = { key: `${model}/a1`, prefillTokens: 9000, expectedQueueMs: 290 };
     assert.is(admission.handleRequest("a", createRequest(1, request), engine.now).kind, "queued");
     run(20);
@@ -179,7 +179,7 @@
         "queued",
     );
     run(600);
-    assert.equal(answers.map(({ answer }) => answer.kind), ["admitted", "admitted", "admitted", "admitted"]);
+    assert.equal(replies.map(({ reply: reply }) => reply.kind), ["admitted", "admitted", "admitted", "admitted"]);
 });
 
 test.run();
--- a/packages/fleet/test/burst.ts
+++ b/packages/fleet/test/burst.ts
@@ -106,7 +106,7 @@
             })!;
             const engine = engines.find(({ id }) => id === choice.state.upstream.id)!;
             admissionRequests += 1;
-            const answer = engine.admission.handleRequest(`vm${vm}`, {
+            const reply = engine.admission.handleRequest(`vm${vm}`, {
                 ticket: requests,
                 model,
                 key,
@@ -119,8 +119,8 @@
                 endMs: 5000,
                 expectedQueueMs: redirects < maxRedirects ? choice.waitMs : undefined,
             }, now);
-            if (answer.kind === "busier") {
-                view.updateLoad(engine.id, answer.load, undefined, now);
+            if (reply.kind === "busier") {
+                view.updateLoad(engine.id, reply.load, undefined, now);
                 continue;
             }
             send(vm, requests, view, engine, choice.prefillTokens);
--- a/packages/fleet/test/choose.test.ts
+++ b/packages/fleet/test/choose.test.ts
@@ -41,7 +41,7 @@
     };
 }
 
-function createStatus(engine: string, news: Partial<EngineStatus> = {}): EngineStatus {
+function createStatus(engine: string, status: Partial<EngineStatus> = {}): EngineStatus {
     return {
         engine,
         fence: 1,
@@ -55,7 +55,7 @@
         coldLoadMs: 250,
         warmLoadMs: 25,
         load: idleLoad,
-        ...news,
+        ...status,
     };
 }
 
@@ -285,7 +285,7 @@
 test("a long prompt goes to the engine with the fewest long responses, and new long responses avoid it", () => {
     const view = createView(["e1", "e2", "e3"]);
     for (const upstream of ["e1", "e3"]) {
-        for (let answers = 0; answers < 4; answers++) {
+        for (let responses = 0; responses < 4; responses++) {
             addLoad(view, { upstream, hasLongAnswer: true });
         }
     }
--- a/packages/fleet/test/crashworld.test.ts
+++ b/packages/fleet/test/crashworld.test.ts
@@ -21,10 +21,10 @@
 const scenarios: { name: string; options: Partial<CrashWorldOptions>; }[] = [
     { name: "only the fatal request ends engines", options: {} },
     { name: "engines also end for other reasons", options: { otherEndsMs: 1500 } },
-    { name: "the store is unreachable", options: { otherEndsMs: 1500, storeAway: [0, 4000] } },
+    { name: "the store is unreachable", options: { otherEndsMs: 1500, storeOutage: [0, 4000] } },
     {
         name: "all VMs are killed while the store is unreachable",
-        options: { otherEndsMs: 1500, restartAt: 2500, storeAway: [2000, 4000] },
+        options: { otherEndsMs: 1500, restartAt: 2500, storeOutage: [2000, 4000] },
     },
 ];
 
--- a/packages/fleet/test/crashworld.ts
+++ b/packages/fleet/test/crashworld.ts
@@ -13,7 +13,7 @@
     /** Mean time between two bursts of up to three fatal requests, in milliseconds. @default never */
     readonly fatalMs?: number;
     /** Start and end of the time in which the store is unreachable, in milliseconds. @default never */
-    readonly storeAway?: readonly [number, number];
+    readonly storeOutage?: readonly [number, number];
     /** When all VMs are killed and restart, in milliseconds. @default never */
     readonly restartAt?: number;
 }
@@ -178,9 +178,9 @@
 
     private send(vm: Vm, request: Request, engine: Engine): void {
         request.attempts += 1;
-        const isInTouch = this.now > (this.options.restartAt ?? -Infinity) + allowedMs
+        const isConnected = this.now > (this.options.restartAt ?? -Infinity) + allowedMs
             || this.now < (this.options.restartAt ?? Infinity);
-        if (request.isFatal && isInTouch && this.now > this.thirdEndAt + allowedMs) {
+        if (request.isFatal && isConnected && this.now > this.thirdEndAt + allowedMs) {
             this.tally.lateSends += 1;
         }
         const startsAt = this.now + 40 + this.random() * 300;
@@ -272,36 +272,36 @@
         }
     }
 
-    private sendReport(vm: Vm, content: Omit<CrashReport, "name">, isKept = true): void {
+    private sendReport(vm: Vm, content: Omit<CrashReport, "name">, isRecorded = true): void {
         vm.reports += 1;
         const report = { name: `${vm.name}/${vm.incarnation}/${vm.reports}`, ...content };
         vm.quarantine.addReport(report);
         for (const other of this.vms) {
             const isLinked = vm.isHub || other.isHub || other.dataCentre === vm.dataCentre;
             if (other !== vm && isLinked) {
-                this.passReport(other, report, 1 + this.random() * 30);
+                this.forwardReport(other, report, 1 + this.random() * 30);
             }
         }
-        if (isKept) {
+        if (isRecorded) {
             this.appendReport(report);
         }
     }
 
-    private passReport(vm: Vm, report: CrashReport, delayMs: number): void {
+    private forwardReport(vm: Vm, report: CrashReport, delayMs: number): void {
         const { incarnation } = vm;
         this.schedule(delayMs, () => vm.incarnation === incarnation && vm.quarantine.applyReport(report, this.now));
     }
 
     /** Writes a report to the store as soon as the store is reachable; all VMs read the report within 0.7 s. */
     private appendReport(report: CrashReport): void {
-        const [from, until] = this.options.storeAway ?? [Infinity, Infinity];
+        const [from, until] = this.options.storeOutage ?? [Infinity, Infinity];
         if (this.now >= from && this.now < until) {
             this.schedule(500, () => this.appendReport(report));
             return;
         }
         this.store.push(report);
         for (const vm of this.vms) {
-            this.passReport(vm, report, 200 + this.random() * 500);
+            this.forwardReport(vm, report, 200 + this.random() * 500);
         }
     }
 
@@ -313,7 +313,7 @@
             vm.incarnation += 1;
             vm.quarantine = new Quarantine();
             for (const report of this.store) {
-                this.passReport(vm, report, 100 + this.random() * 300);
+                this.forwardReport(vm, report, 100 + this.random() * 300);
             }
             this.permitIssuer.removeVm(vm.name);
         }
--- a/packages/fleet/test/emptyengine.test.ts
+++ b/packages/fleet/test/emptyengine.test.ts
@@ -14,10 +14,10 @@
     type HeldModel,
     prefillTokensPerMs,
 } from "../src/index.js";
-import { createEngineStatus, createUpstream, limits as usualLimits } from "./simulatedengine.js";
+import { createEngineStatus, createUpstream, limits as defaultLimits } from "./simulatedengine.js";
 
 const model = { name: "base", weightsMb: 72_700, loadMs: 2900, warmLoadMs: 2900, diskLoadMs: 2900, adapterMb: 20 };
-const limits = { ...usualLimits, models: [model] };
+const limits = { ...defaultLimits, models: [model] };
 const held: HeldModel[] = [{ name: model.name, version: 1, adapters: [] }];
 
 interface TestEngine {
--- a/packages/fleet/test/hotset.test.ts
+++ b/packages/fleet/test/hotset.test.ts
@@ -24,18 +24,18 @@
     return seeds.map(seed => runWorkload({ ...workload, ...change, seed }));
 }
 
-const bounds: [requestsPerSecond: number, onTime: number, served: number][] = [
+const bounds: [requestsPerSecond: number, withinTarget: number, served: number][] = [
     [18, 0.985, 0.995],
     [22, 0.97, 0.99],
     [28, 0.925, 0.97],
     [36, 0.875, 0.93],
 ];
 
-for (const [requestsPerSecond, onTime, served] of bounds) {
+for (const [requestsPerSecond, withinTarget, served] of bounds) {
     test(`at ${requestsPerSecond} requests per second no request waits while idle adapters occupy slots`, () => {
         const results = runSeeds({ requestsPerSecond });
-        const found = readMean(results, result => result.onTime);
-        assert.ok(found >= onTime, `on time ${found}`);
+        const found = readMean(results, result => result.withinTarget);
+        assert.ok(found >= withinTarget, `within the target: ${found}`);
         assert.ok(readMean(results, result => result.served) >= served);
     });
 }
@@ -50,7 +50,7 @@
     test(`an engine ${slowness < 1 ? "three times faster" : "three times slower"} serves what its speed allows`, () => {
         const results = runSeeds({ slowness, requestsPerSecond: workload.requestsPerSecond / slowness });
         assert.ok(readMean(results, result => result.served) >= 0.95, `${readMean(results, result => result.served)}`);
-        assert.ok(readMean(results, result => result.onTime) >= (slowness < 1 ? 0.98 : 0.6));
+        assert.ok(readMean(results, result => result.withinTarget) >= (slowness < 1 ? 0.98 : 0.6));
     });
 }
 
--- a/packages/fleet/test/overload.test.ts
+++ b/packages/fleet/test/overload.test.ts
@@ -105,23 +105,26 @@
     const readShare = (chosen: readonly Request[], isGood: (request: Request) => boolean): number =>
         chosen.filter(isGood).length / chosen.length;
     const isServed = (request: Request): boolean => request.startedAt !== undefined;
-    const isOnTime = (request: Request): boolean =>
+    const isWithinTarget = (request: Request): boolean =>
         (request.startedAt ?? Infinity) - request.arrivedAt <= latencyTargetMs;
     const long = requests.filter(request => request.isLong);
     const largest = [...long].sort((left, right) => right.runMs - left.runMs).slice(0, Math.ceil(long.length / 10));
     return {
-        onTime: readShare(requests, isOnTime),
+        withinTarget: readShare(requests, isWithinTarget),
         served: readShare(requests, isServed),
         servedLong: readShare(long, isServed),
         servedLargest: readShare(largest, isServed),
     };
 }
 
-test("on an overloaded engine more requests are on time and served than by arrival, also long ones", () => {
+test("an overloaded engine serves more requests, and more within the target, than by arrival, also long ones", () => {
     for (const seed of [1, 2, 3]) {
         const ordered = measure(runWorkload(seed, true));
         const byArrival = measure(runWorkload(seed, false));
-        assert.ok(ordered.onTime > byArrival.onTime + 0.3, `${ordered.onTime} against ${byArrival.onTime}`);
+        assert.ok(
+            ordered.withinTarget > byArrival.withinTarget + 0.3,
+            `${ordered.withinTarget} against ${byArrival.withinTarget}`,
+        );
         assert.ok(1 - ordered.served < (1 - byArrival.served) * 0.65, `${ordered.served} against ${byArrival.served}`);
         assert.ok(ordered.servedLargest > ordered.servedLong * 0.8, `${ordered.servedLargest}`);
     }
--- a/packages/fleet/test/shardleases.test.ts
+++ b/packages/fleet/test/shardleases.test.ts
@@ -208,8 +208,8 @@
         }));
     }
 
-    /** Renews the membership of a VM. The store's response reaches the VM if `isHeard`. */
-    renew(index: number, isHeard: boolean, delayMs: number): void {
+    /** Renews the membership of a VM. The store's response reaches the VM if `isReceived`. */
+    renew(index: number, isReceived: boolean, delayMs: number): void {
         const vm = this.vms[index]!;
         this.expireMembers();
         const sentAt = this.now;
@@ -221,7 +221,7 @@
         const shards = [...this.owners].filter(([, owner]) => owner === index).map(([shard]) => shard);
         const generation = this.generation;
         this.now += delayMs;
-        if (isHeard) {
+        if (isReceived) {
             vm.leases.applyRenewal(generation, shards, sentAt, this.now);
         }
     }
@@ -340,12 +340,12 @@
             "renew",
             "renew",
             "lost",
-            "deal",
+            "assign",
             "restart",
             "leave",
             "handover",
             "pause",
-            "quiet",
+            "idle",
         ),
     });
     fc.assert(
@@ -360,7 +360,7 @@
                     case "lost":
                         simulation.renew(vm, false, delayMs);
                         break;
-                    case "deal":
+                    case "assign":
                         simulation.planAssignment(vm);
                         break;
                     case "restart":
@@ -375,7 +375,7 @@
                     case "pause":
                         simulation.now += 3000;
                         break;
-                    case "quiet":
+                    case "idle":
                         break;
                 }
                 for (const index of simulation.vms.keys()) {
--- a/packages/fleet/test/slotplanner.test.ts
+++ b/packages/fleet/test/slotplanner.test.ts
@@ -44,7 +44,7 @@
 });
 
 // Guards against orders for more adapters than an engine has slots. A VM that requests a report within 250 ms of its
-// start, on a clock that begins there, must not take the report for older than its own state: it would count occupied
+// start, on a clock that starts there, must not treat the report as older than its own state: it would count occupied
 // slots as free.
 test("a report right after the start of a process is applied", () => {
     const engine = new SimulatedEngine();
--- a/packages/fleet/test/workload.ts
+++ b/packages/fleet/test/workload.ts
@@ -22,9 +22,9 @@
 
 /** Result of a workload. Times in milliseconds. */
 export interface WorkloadResult {
-    readonly asked: number;
+    readonly requests: number;
     /** Shares of all requests. */
-    readonly onTime: number;
+    readonly withinTarget: number;
     readonly served: number;
     readonly declined: number;
     /** Mean time from arrival to decline of the declined requests. */
@@ -75,10 +75,10 @@
     const pickRank = createZipf(workload.adapters, random);
     const waiting = new Map<number, SimulatedRequest>();
     const running = new Map<number, SimulatedRequest>();
-    let [asked, onTime, served, declined, declinedAfter, queued, queuedServed] = [0, 0, 0, 0, 0, 0, 0];
+    let [requests, withinTarget, served, declined, declinedAfter, queued, queuedServed] = [0, 0, 0, 0, 0, 0, 0];
     const start = (request: SimulatedRequest): void => {
         served += 1;
-        onTime += engine.now - request.arrivedAt <= latencyTargetMs ? 1 : 0;
+        withinTarget += engine.now - request.arrivedAt <= latencyTargetMs ? 1 : 0;
         request.endAt = engine.now + request.runMs;
         running.set(request.ticket, request);
     };
@@ -87,12 +87,12 @@
         declinedAfter += engine.now - request.arrivedAt;
     };
     const arrive = (): void => {
-        asked += 1;
+        requests += 1;
         // Callers estimate the length of their responses, and are off by a factor.
         const runMs = workload.meanRunMs * slowness * Math.exp((random() + random() - 1) * 1.6) * 0.85;
-        const request: SimulatedRequest = { ticket: asked, arrivedAt: engine.now, runMs, endAt: undefined };
-        const answer = admission.handleRequest("vm", {
-            ticket: asked,
+        const request: SimulatedRequest = { ticket: requests, arrivedAt: engine.now, runMs, endAt: undefined };
+        const reply = admission.handleRequest("vm", {
+            ticket: requests,
             model,
             key: formatAdapterKey(model, `a${pickRank()}`),
             prefillTokens: 500,
@@ -103,15 +103,15 @@
             patienceMs: callerLimitMs,
             endMs: 6000,
         }, engine.now);
-        if (answer.kind === "admitted") {
+        if (reply.kind === "admitted") {
             start(request);
         }
-        else if (answer.kind === "declined") {
+        else if (reply.kind === "declined") {
             decline(request);
         }
         else {
             queued += 1;
-            waiting.set(asked, request);
+            waiting.set(requests, request);
         }
     };
     while (engine.now < workload.lengthMs) {
@@ -126,10 +126,10 @@
             arrive();
         }
         runPlan(engine, planner, () => "answered");
-        for (const { answer } of admission.advance(engine.now)) {
-            const request = waiting.get(answer.ticket)!;
-            waiting.delete(answer.ticket);
-            if (answer.kind === "admitted") {
+        for (const { reply } of admission.advance(engine.now)) {
+            const request = waiting.get(reply.ticket)!;
+            waiting.delete(reply.ticket);
+            if (reply.kind === "admitted") {
                 queuedServed += 1;
                 start(request);
             }
@@ -139,12 +139,12 @@
         }
     }
     return {
-        asked,
-        onTime: onTime / asked,
-        served: served / asked,
-        declined: declined / asked,
+        requests,
+        withinTarget: withinTarget / requests,
+        served: served / requests,
+        declined: declined / requests,
         declinedAfterMs: declinedAfter / Math.max(1, declined),
         servedQueuedShare: queuedServed / Math.max(1, queued - waiting.size),
-        loads: engine.sequence / 2 / asked,
+        loads: engine.sequence / 2 / requests,
     };
 }
--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -132,7 +132,7 @@
         job: Job,
         upstream: Upstream,
         end: AttemptEnd,
-        { sentAt, firstEventAt: begunAt }: AttemptTimes,
+        { sentAt, firstEventAt }: AttemptTimes,
     ): Promise<void> {
         if (end.kind === "complete" || end.kind === "failed") {
             this.reports.recordCompletion(job.digest);
@@ -146,7 +146,7 @@
         const settled = this.monitor.recordBrokenRun(upstream, {
             requestId: job.demand.requestId,
             digest: job.digest,
-            answeringMs: begunAt === undefined ? undefined : now - begunAt,
+            answeringMs: firstEventAt === undefined ? undefined : now - firstEventAt,
             sentMs: now - sentAt,
         });
         await Promise.race([settled, wait(probeResultWaitMs)]);
--- a/packages/node/src/links/accepted.ts
+++ b/packages/node/src/links/accepted.ts
@@ -37,7 +37,7 @@
     /**
      * Times since the last frame from VMs of other data centres or since the loss of their last link, in milliseconds.
      */
-    listQuietMs(now: number): number[] {
+    listReceiveIdleMs(now: number): number[] {
         const open = [...this.links.values()]
             .filter(({ peer }) => peer.dataCentre !== this.dataCentre)
             .map(({ quietMs }) => quietMs);
--- a/packages/node/src/links/dispatcher.ts
+++ b/packages/node/src/links/dispatcher.ts
@@ -13,7 +13,7 @@
 export interface PeerDispatcherOptions {
     readonly peers: Peers;
     readonly sharing: ChangeSharing;
-    readonly departures: LeavingUpstreamSharing;
+    readonly leavingUpstreams: LeavingUpstreamSharing;
     readonly guard: CrashGuard;
     readonly accounts: AccountGuard;
     readonly admissions: Admissions;
@@ -21,7 +21,7 @@
     readonly readOwnership: () => ShardOwnership | undefined;
     readonly onChanges: (vm: string, changes: readonly ClusterChange[]) => void;
     readonly onCrashReports: (reports: readonly CrashReport[]) => void;
-    readonly onStatuses: (vm: string, news: readonly EngineStatus[]) => void;
+    readonly onStatuses: (vm: string, statuses: readonly EngineStatus[]) => void;
     /** Called when a VM announces that it is stopping. */
     readonly onLeaving: (vm: string) => void;
 }
@@ -31,7 +31,7 @@
     constructor(private readonly options: PeerDispatcherOptions) {}
 
     dispatch(vm: string, message: PeerMessage): void {
-        const { peers, sharing, departures, guard, accounts, admissions } = this.options;
+        const { peers, sharing, leavingUpstreams, guard, accounts, admissions } = this.options;
         const { onChanges, onCrashReports, onStatuses, onLeaving } = this.options;
         const ownership = this.options.readOwnership();
         switch (message.type) {
@@ -42,7 +42,7 @@
                 onChanges(vm, message.changes);
                 return;
             case "upstreamsLeaving":
-                departures.receive(vm, message.upstreams);
+                leavingUpstreams.receive(vm, message.upstreams);
                 return;
             case "crashReports":
                 onCrashReports(message.reports);
--- a/packages/node/src/links/messages.ts
+++ b/packages/node/src/links/messages.ts
@@ -63,12 +63,12 @@
      * Requests changes that the receiver has read and the sender lacks, with the positions that the sender has read.
      */
     z.object({ type: z.literal("pull"), positions: positionsSchema }),
-    /** Whether the sender wants every change that the receiver learns, with the positions that the sender has read. */
+    /** Whether the sender requests all changes that the receiver learns, with the positions that the sender read. */
     z.object({ type: z.literal("follow"), isWanted: z.boolean(), positions: positionsSchema }),
     /** Statuses of engines that the sender owns. */
     z.object({ type: z.literal("news"), news: z.array(engineStatusSchema) }),
     /**
-     * Upstreams whose responses announce that they are leaving. All current ones when a link opens, later new ones.
+     * Upstreams whose responses announce that they are leaving: all when a link opens, later only new ones.
      */
     z.object({ type: z.literal("upstreamsLeaving"), upstreams: z.array(z.string()) }),
     /** To the owner of an engine: a request of the sender requests admission. */
@@ -137,7 +137,7 @@
         isTakenOver: z.boolean(),
     }),
     /**
-     * Crash reports: upstreams that have ended, and what ran there. All current ones when a link opens, later new ones.
+     * Crash reports: upstreams that have ended, and what ran there: all when a link opens, later only new ones.
      */
     z.object({ type: z.literal("crashReports"), reports: z.array(crashReportSchema) }),
     /** To the permit issuer of a suspect request: the sender requests a permit to run it. */
--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -5,7 +5,7 @@
 import { chooseLinkLimits, linkTickMs } from "./linklimits.js";
 import { KnownMembers } from "./members.js";
 import { type PeerMessage, peerMessageSchema } from "./messages.js";
-import { isMesh, type KnownMember, listWantedLinks } from "./topology.js";
+import { isMesh, type KnownMember, listDesiredLinks } from "./topology.js";
 
 /**
  * Longest delay between two attempts to reach a VM, in milliseconds. Without this limit, links may open up
@@ -18,7 +18,7 @@
 
 /**
  * Time without a message to one VM alone after which an unwanted link to that VM is closed, in milliseconds. Otherwise
- * a VM that owned engines for a moment would keep links to all others for good.
+ * a VM that owned engines for a moment would keep links to all other VMs permanently.
  */
 const idleLinkMs = 10_000;
 
@@ -66,9 +66,9 @@
     private readonly peersByAddress = new Map<string, Peer>();
     private readonly ticker = new LinkTicker(linkTickMs);
     private isHub = false;
-    /** Whether this VM opens the links that it wants; see {@link pauseOpening}. */
+    /** Whether this VM opens its desired links; see {@link pauseOpening}. */
     private isOpening = true;
-    private wanted: ReadonlySet<string> = new Set();
+    private desiredLinks: ReadonlySet<string> = new Set();
     /** Open links that this VM opened, by VM. */
     private readonly linksByVm = new Map<string, Link<PeerMessage>>();
     /** Links that other VMs opened. In a full mesh nothing is sent on them. */
@@ -107,10 +107,10 @@
         this.server.stop();
     }
 
-    /** Adds a VM or its details, and opens a link to it if this VM wants one. */
+    /** Adds a VM or its details, and opens a link to it if the topology requires one. */
     addPeer(member: KnownMember): void {
         if (this.members.update(member)) {
-            this.openWantedLinks();
+            this.openDesiredLinks();
         }
     }
 
@@ -118,7 +118,7 @@
     setHub(isHub: boolean): void {
         if (this.isHub !== isHub) {
             this.isHub = isHub;
-            this.openWantedLinks();
+            this.openDesiredLinks();
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Opens no wanted links until {@link resumeOpening}: while all VMs start, the first known VMs are only a part of
+     * Opens no desired links until {@link resumeOpening}: while all VMs start, the first known VMs are only a part of
      * them.
      */
     pauseOpening(): void {
@@ -137,16 +137,16 @@
 
     resumeOpening(): void {
         this.isOpening = true;
-        this.openWantedLinks();
+        this.openDesiredLinks();
     }
 
-    private openWantedLinks(): void {
+    private openDesiredLinks(): void {
         const { self } = this.options;
         if (!this.isOpening) {
             return;
         }
-        this.wanted = listWantedLinks({ self, members: this.members.list(), isHub: this.isHub });
-        for (const address of this.wanted) {
+        this.desiredLinks = listDesiredLinks({ self, members: this.members.list(), isHub: this.isHub });
+        for (const address of this.desiredLinks) {
             this.openLink(address);
         }
     }
@@ -224,7 +224,7 @@
         const opened = [...this.peersByAddress.values()]
             .filter(({ dataCentre }) => dataCentre !== undefined && dataCentre !== self.dataCentre)
             .map(({ link, lastOpenAt }) => link?.quietMs ?? now - lastOpenAt);
-        const silences = this.isMesh ? opened : [...opened, ...this.accepted.listQuietMs(now)];
+        const silences = this.isMesh ? opened : [...opened, ...this.accepted.listReceiveIdleMs(now)];
         return silences.length === 0 ? undefined : Math.min(...silences);
     }
 
@@ -285,12 +285,12 @@
                 this.members.remove(peer.address);
                 this.removePeer(peer);
             }
-            else if (!this.wanted.has(peer.address) && now - peer.usedAt > idleLinkMs) {
+            else if (!this.desiredLinks.has(peer.address) && now - peer.usedAt > idleLinkMs) {
                 this.removePeer(peer);
             }
         }
         if (this.members.count < known) {
-            this.openWantedLinks();
+            this.openDesiredLinks();
         }
     }
 
@@ -308,7 +308,7 @@
         this.addPeer({ id: peer.id, address: peer.address, dataCentre: peer.dataCentre });
         this.accepted.add(link);
         if (!this.isMesh) {
-            this.sendGreeting(link);
+            this.sendInitialMessages(link);
         }
         else if (this.isOpening) {
             this.openLink(peer.address);
@@ -345,10 +345,10 @@
             // The other side opens no link of its own that would show its start.
             this.recordIncarnation(link.peer);
         }
-        this.sendGreeting(link);
+        this.sendInitialMessages(link);
     }
 
-    private sendGreeting(link: Link<PeerMessage>): void {
+    private sendInitialMessages(link: Link<PeerMessage>): void {
         for (const message of this.options.createInitialMessages(link.peer.id)) {
             link.send(message);
         }
--- a/packages/node/src/links/topology.ts
+++ b/packages/node/src/links/topology.ts
@@ -17,8 +17,8 @@
     readonly dataCentre?: string | undefined;
 }
 
-/** Options of {@link listWantedLinks}. */
-export interface WantedLinksOptions {
+/** Options of {@link listDesiredLinks}. */
+export interface DesiredLinksOptions {
     readonly self: Pick<NodeIdentity, "id" | "dataCentre">;
     /** Known other VMs. */
     readonly members: readonly KnownMember[];
@@ -32,7 +32,7 @@
 }
 
 /** Lists the addresses of the VMs to which a VM opens links and keeps them open. */
-export function listWantedLinks(options: WantedLinksOptions): Set<string> {
+export function listDesiredLinks(options: DesiredLinksOptions): Set<string> {
     const { members, isHub } = options;
     if (isHub || isMesh(members.length)) {
         return new Set(members.map(({ address }) => address));
@@ -45,7 +45,7 @@
  * Lists the first VMs, by name, of the own data centre. One of these VMs is also linked to the first VMs of all other
  * data centres, so that the readers of the store learn of each other.
  */
-function listNeighbours({ self, members }: WantedLinksOptions): KnownMember[] {
+function listNeighbours({ self, members }: DesiredLinksOptions): KnownMember[] {
     const ownNeighbours = listFirst([...members, { ...self, address: "" }], self.dataCentre);
     if (!ownNeighbours.some(({ id }) => id === self.id)) {
         return listFirst(members, self.dataCentre);
--- a/packages/node/src/ownership/engines.ts
+++ b/packages/node/src/ownership/engines.ts
@@ -57,8 +57,8 @@
     readonly explainOrders?: (name: string) => object;
     /** @default the timers of this process */
     readonly timers?: Timers;
-    readonly sendStatuses: (news: EngineStatus[]) => void;
-    readonly sendReply: (vm: string, answer: AdmissionReply) => void;
+    readonly sendStatuses: (statuses: EngineStatus[]) => void;
+    readonly sendReply: (vm: string, reply: AdmissionReply) => void;
     /** Called when a response of an engine announces that the engine is leaving. */
     readonly onLeaving?: ((engine: string) => void) | undefined;
     /** Counts the other VMs that may be running, connected or not. */
@@ -92,7 +92,7 @@
     readonly released: EngineStatus[];
 }
 
-/** The engines that this VM owns: it alone gives them orders, admits requests and reports their state to all VMs. */
+/** The engines that this VM owns: only this VM gives them orders, admits requests and reports their state. */
 export class OwnedEngines {
     private readonly engines = new Map<string, OwnedEngine>();
     private readonly timers: Timers;
@@ -348,8 +348,8 @@
     }
 
     private sendReplies(replies: readonly AddressedReply[]): void {
-        for (const { vm, answer } of replies) {
-            this.options.sendReply(vm, answer);
+        for (const { vm, reply } of replies) {
+            this.options.sendReply(vm, reply);
         }
     }
 
@@ -365,7 +365,7 @@
             this.sendReplies(owned.admission.refuseAll(leavingExpectedMs));
         }
         const replies = owned.admission.advance(now);
-        this.recordFirstAdmission(owned, replies.map(({ answer }) => answer), now);
+        this.recordFirstAdmission(owned, replies.map(({ reply }) => reply), now);
         this.sendReplies(replies);
         if (owned.isStepRunning) {
             return;
--- a/packages/node/src/ownership/ownership.ts
+++ b/packages/node/src/ownership/ownership.ts
@@ -21,7 +21,10 @@
  */
 const cutOffAfterMs = 300;
 
-/** Older renewal attempts say nothing about the store now, in milliseconds: VMs without shards renew every 1.2 s. */
+/**
+ * Older renewal attempts do not show the current state of the store, in milliseconds: VMs without shards renew every
+ * 1.2 s.
+ */
 const recentAttemptMs = 1600;
 
 /**
@@ -39,15 +42,15 @@
 
 /**
  * How long a restarted VM holds shards while too few VMs confirm its start, in milliseconds, before it requests a new
- * assignment. Most VMs may be gone for good, and the store does not reassign shards by itself. Links open within some
- * 100 ms, after a cut within 500 ms.
+ * assignment. Most VMs may be gone permanently, and the store does not reassign shards by itself. Links open within
+ * some 100 ms, after a cut within 500 ms.
  */
 const unconfirmedStartMs = 3000;
 
 /** Longest wait for a running renewal before the VM leaves the group, in milliseconds: responses usually take 4 ms. */
 const renewalWaitMs = 100;
 
-/** Query numbers reserved for one process: replies to queries of its predecessor are told apart by their number. */
+/** Query numbers reserved for one process: replies to queries of its predecessor are distinguished by their number. */
 const queriesPerIncarnation = 1000;
 
 /** Lease duration: how long one confirmed renewal lets its holder give orders, in milliseconds. */
@@ -283,7 +286,7 @@
             await this.sendRelease(releasableShards, generation, "stop");
         }
         else if (!isCutOff) {
-            // The store became unreachable just now. If it reassigned the shards all the same, the receiver learns this
+            // The store became unreachable just now. If it reassigned the shards nevertheless, the receiver learns this
             // as any holder does.
             this.sendHandover(handover);
         }
@@ -465,7 +468,7 @@
             renewalAgeMs: this.renewalAgeMs,
             isCutOff: this.isCutOff,
             giversHaveStarted: this.hasAnyRestarted(givers),
-            giversAreGone: givers.every(giver => this.options.readIncarnation(giver.vm) === giver.incarnation),
+            giversAreGone: givers.every(source => this.options.readIncarnation(source.vm) === source.incarnation),
             isTakenOver: now - (this.takeoverReportedAt.get(vm) ?? -Infinity) < takeoverReportValidMs,
         };
     }
@@ -501,11 +504,11 @@
         if (this.leases.hasHandovers && this.isMajority(openQuery.sourcesGoneBy)) {
             this.leases.renewHandovers(openQuery.askedAt);
         }
-        const witnessExtensionMs = this.leases.applyPeerRenewal(
+        const peerExtensionMs = this.leases.applyPeerRenewal(
             state.generation,
             openQuery.askedAt - state.renewalAgeMs,
         );
-        this.recordExtension("prolongedByWitness", witnessExtensionMs, { vm, renewalAgeMs: state.renewalAgeMs });
+        this.recordExtension("prolongedByWitness", peerExtensionMs, { vm, renewalAgeMs: state.renewalAgeMs });
         this.leases.recordGeneration(state.newestDeal);
         const held = this.leases.listShards();
         if (state.isCutOff && !state.shards.some(shard => held.includes(shard))) {
@@ -513,8 +516,8 @@
         }
         // If most VMs are cut off from the store, the store itself is unreachable and reassigns no shards.
         if (this.isMajority(openQuery.clearedBy)) {
-            const clearExtensionMs = this.leases.applyStoreOutage(openQuery.askedAt);
-            this.recordExtension("prolongedByAllClear", clearExtensionMs, { clear: [...openQuery.clearedBy] });
+            const outageExtensionMs = this.leases.applyStoreOutage(openQuery.askedAt);
+            this.recordExtension("prolongedByAllClear", outageExtensionMs, { clear: [...openQuery.clearedBy] });
         }
     }
 
@@ -567,8 +570,8 @@
 
     /**
      * Leaves the group and joins it again, so that the store creates a new assignment: in a later generation a start
-     * needs no confirmation by other VMs. Otherwise a VM that restarts where most others are gone for good would never
-     * use its shards.
+     * needs no confirmation by other VMs. Otherwise a VM that restarts where most others are gone permanently would
+     * never use its shards.
      */
     private async renewAssignment(): Promise<void> {
         await this.waitRenewal();
--- a/packages/node/src/ports.ts
+++ b/packages/node/src/ports.ts
@@ -65,7 +65,7 @@
     /** Whether the upstream signed the response. */
     readonly isSigned: boolean;
     /** Name of the upstream that sent the response, if the response gives it. */
-    readonly answeredBy: string | undefined;
+    readonly sentBy: string | undefined;
     /** Whether the upstream announces that it is leaving. */
     readonly isLeaving: boolean;
     /** Backoff that the upstream requests from this VM, in milliseconds; undefined if it requests none. */
--- a/packages/node/src/program.ts
+++ b/packages/node/src/program.ts
@@ -415,7 +415,7 @@
         const {
             peers,
             changeSharing: sharing,
-            leavingUpstreams: departures,
+            leavingUpstreams,
             crashGuard: guard,
             accountGuard: accounts,
             admissions,
@@ -423,7 +423,7 @@
         return new PeerDispatcher({
             peers,
             sharing,
-            departures,
+            leavingUpstreams,
             guard,
             accounts,
             admissions,
--- a/packages/node/src/requests/attempt.ts
+++ b/packages/node/src/requests/attempt.ts
@@ -237,7 +237,7 @@
 
     private receiveStreamData(chunk: Buffer): void {
         const events = this.splitter.receive(chunk);
-        if (this.splitter.isOverlong) {
+        if (this.splitter.isTooLong) {
             this.finishBroken("wrongAnswer", "an event exceeds the maximum size");
             return;
         }
--- a/packages/node/src/requests/chooser.ts
+++ b/packages/node/src/requests/chooser.ts
@@ -159,7 +159,7 @@
     }
 
     /** Whether the owner of an engine is known, linked and believed to reply. */
-    private canAsk(state: UpstreamState): boolean {
+    private canAskOwner(state: UpstreamState): boolean {
         const { owner } = state;
         return owner !== undefined && this.options.isLinked(owner) && this.options.admissions.isResponsive(owner);
     }
@@ -208,7 +208,7 @@
             demand: model,
             longPromptTokens: longPromptThreshold.tokens,
             findCachedTokens: engine => prefixCache.countCachedTokens(engine, model, now),
-            canAskOwner: state => this.canAsk(state),
+            canAskOwner: state => this.canAskOwner(state),
         };
         const choice = chooseEngine(options);
         return choice === undefined ? undefined : this.chooseNewest(job, options, choice);
@@ -252,7 +252,7 @@
             prefillTokens: choice.prefillTokens,
             expectedQueueMs: job.redirects < maxRedirects ? choice.waitMs : undefined,
         };
-        if (!this.canAsk(state)) {
+        if (!this.canAskOwner(state)) {
             const run = admissions.addRun(engine, { ...details, version: choice.version });
             return { choice, admission: run };
         }
--- a/packages/node/src/requests/events.ts
+++ b/packages/node/src/requests/events.ts
@@ -24,7 +24,7 @@
     }
 
     /** Whether the unfinished event exceeds the maximum size. */
-    get isOverlong(): boolean {
+    get isTooLong(): boolean {
         return this.pendingBytes.length > maxEventBytes;
     }
 
--- a/packages/node/src/requests/metadata.ts
+++ b/packages/node/src/requests/metadata.ts
@@ -22,7 +22,7 @@
     { requestId, upstreamName }: ExpectedResponse,
 ): ResponseMetadata {
     const isForRequest = head.requestId === undefined || head.requestId === requestId;
-    const isFromUpstream = head.answeredBy === undefined ? !head.isMisdirected : head.answeredBy === upstreamName;
+    const isFromUpstream = head.sentBy === undefined ? !head.isMisdirected : head.sentBy === upstreamName;
     return isForRequest && isFromUpstream
         ? { isLeaving: head.isLeaving, askedRestMs: head.askedRestMs }
         : emptyMetadata;
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -198,7 +198,7 @@
         }
         const account = known.value;
         const claim = this.options.accounts.createClaim(account, demand);
-        const body = await this.readBodyWithClaim(caller, demand, claim, table.routing.limits.maxBodyBytes);
+        const body = await this.readBodyAndClaimQuota(caller, demand, claim, table.routing.limits.maxBodyBytes);
         if (body === undefined) {
             return;
         }
@@ -225,7 +225,7 @@
     }
 
     /** Reads the body while the quota is claimed; undefined if the caller has left or the request was refused. */
-    private async readBodyWithClaim(
+    private async readBodyAndClaimQuota(
         caller: CallerExchange,
         demand: CallerDemand,
         claim: QuotaClaim | undefined,
@@ -506,7 +506,7 @@
         const key = findAdapterKey(model);
         switch (end.kind) {
             case "complete":
-                health.recordResponse(now, this.readAnswerPace(job, now - sentAt));
+                health.recordResponse(now, this.readResponseSlowdown(job, now - sentAt));
                 if (model !== undefined) {
                     this.prefixCache.record(upstream.id, model, now);
                     this.recordPauses(job, choice.state, sentAt);
@@ -554,9 +554,9 @@
     }
 
     /**
-     * Plain responses show the pace by their total time. Streams show it by their first event, so engines get 1 here.
+     * A plain response shows a slowdown by its total time. A stream shows it by its first event, so engines get 1 here.
      */
-    private readAnswerPace(job: Job, ms: number): number {
+    private readResponseSlowdown(job: Job, ms: number): number {
         return job.service.engine === undefined ? ms / Math.max(30, job.route.aimMs / 4) : 1;
     }
 
@@ -645,7 +645,7 @@
     }
 }
 
-/** Formats the time between two moments for the log, in milliseconds; undefined if one of them has not come. */
+/** Formats the time between two moments for the log, in milliseconds; undefined unless both are known. */
 function formatElapsed(from: number | undefined, to: number | undefined): number | undefined {
     return from === undefined || to === undefined ? undefined : Math.round(to - from);
 }
--- a/packages/node/test/accountworld.ts
+++ b/packages/node/test/accountworld.ts
@@ -11,7 +11,7 @@
 
 /** How long the store holds a read open, how long a VM waits beyond that, and the pause between reads, in ms. */
 const readWaitMs = 1000;
-const answerTimeoutMs = 700;
+const responseTimeoutMs = 700;
 const readPauseMs = 60;
 
 const storeDelayMs = 2;
@@ -216,7 +216,7 @@
         await this.wait(storeDelayMs);
         for (;;) {
             if (world.cutOff.has(this.vm)) {
-                await this.wait(Math.max(1, startedAt + readWaitMs + answerTimeoutMs - world.schedule.now));
+                await this.wait(Math.max(1, startedAt + readWaitMs + responseTimeoutMs - world.schedule.now));
                 return undefined;
             }
             const newest = world.versions.at(-1);
--- a/packages/node/test/backoffs.test.ts
+++ b/packages/node/test/backoffs.test.ts
@@ -87,8 +87,8 @@
         startedAt,
         deadlineAt: startedAt + route.timeoutMs,
     }));
-    const asked = sent.find(message => message.type === "admit")!;
-    return { view, admissions, ready, ticket: asked.request.ticket, addEngine };
+    const admit = sent.find(message => message.type === "admit")!;
+    return { view, admissions, ready, ticket: admit.request.ticket, addEngine };
 }
 
 test("a request that is admitted at an engine which backs off from its VM by then goes to another engine", async () => {
--- a/packages/node/test/changingserver.ts
+++ b/packages/node/test/changingserver.ts
@@ -15,11 +15,11 @@
 /** Starts a server that reports the account of each request that reaches it. */
 async function startServer(
     onRequest: (account: string | undefined) => void,
-    hasAnswer: boolean,
+    hasResponse: boolean,
 ): Promise<{ server: Server; address: string; }> {
     const server = createServer((request, response) => {
         onRequest(request.headers[accountHeader]?.toString());
-        if (hasAnswer) {
+        if (hasResponse) {
             response.end("whole");
         }
     });
@@ -66,7 +66,7 @@
         isNotRun: false,
         isMisdirected: false,
         isSigned: true,
-        answeredBy: undefined,
+        sentBy: undefined,
         isLeaving: false,
         askedRestMs: undefined,
     }),
@@ -151,9 +151,9 @@
             cluster.applyChanges([createLateChange()]);
         }
     };
-    const hasAnswer = createLateChange === undefined;
+    const hasResponse = createLateChange === undefined;
     const servers = await Promise.all(
-        ["s1", "s2"].map(id => startServer(account => receive(id, account), hasAnswer)),
+        ["s1", "s2"].map(id => startServer(account => receive(id, account), hasResponse)),
     );
     const upstreams = ["s1", "s2"].map((id, index) =>
         createUpstream(id, { service: "desk", address: servers[index]!.address, models: [...models[index]!] })
@@ -202,12 +202,12 @@
         void serving.handle(new CallerExchange(request, response));
     });
     await new Promise<void>(resolve => front.listen(0, "127.0.0.1", resolve));
-    const answer = await fetch(`http://127.0.0.1:${(front.address() as AddressInfo).port}/`, { method: "POST" });
-    const text = await answer.text();
+    const response = await fetch(`http://127.0.0.1:${(front.address() as AddressInfo).port}/`, { method: "POST" });
+    const text = await response.text();
     pool.close();
     for (const { server } of [...servers, { server: front }]) {
         server.close();
         server.closeAllConnections();
     }
-    return { status: answer.status, text, reached, accounts, first };
+    return { status: response.status, text, reached, accounts, first };
 }
--- a/packages/node/test/chooser.test.ts
+++ b/packages/node/test/chooser.test.ts
@@ -101,7 +101,7 @@
     });
     view.removeVm("owner");
     const ready = chooser.chooseReady(createRequest(6000));
-    for (let news = 0; news < 30; news += 1) {
+    for (let update = 0; update < 30; update += 1) {
         chooser.receiveEngineStatus();
         // All promise callbacks run before the next message, but no timer does.
         for (let step = 0; step < 20; step += 1) {
@@ -116,23 +116,23 @@
 });
 
 test("a request that one engine declines is admitted by another; it is refused once the best has declined", async () => {
-    const asked: string[] = [];
+    const requests: string[] = [];
     const { chooser } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type !== "admit") {
             return;
         }
-        asked.push(message.engine);
+        requests.push(message.engine);
         const { ticket } = message.request;
         admissions.receiveReply(
             "owner",
-            asked.length === 1
+            requests.length === 1
                 ? { kind: "declined", ticket, expectedMs: 9000 }
                 : { kind: "admitted", ticket, version: 3 },
         );
     });
     const ready = await chooser.chooseReady(createRequest(6000));
-    assert.is(asked.length, 2);
-    assert.is.not(asked[0], asked[1]);
+    assert.is(requests.length, 2);
+    assert.is.not(requests[0], requests[1]);
     assert.is(ready?.choice.version, 3);
     const declined: string[] = [];
     const full = createChooser(["e1", "e2"], (message, admissions) => {
@@ -149,14 +149,14 @@
 });
 
 test("a request whose engine is busier than expected is redirected, but accepts any load after four times", async () => {
-    const asked: { engine: string; expectedQueueMs: number | undefined; }[] = [];
+    const requests: { engine: string; expectedQueueMs: number | undefined; }[] = [];
     const load = { active: 9, backlogTokens: 90_000, kvTokens: 90_000, longAnswers: 0, largestPrompt: 9000 };
     const { chooser, view } = createChooser(["e1", "e2"], (message, admissions) => {
         if (message.type !== "admit") {
             return;
         }
         const { ticket, expectedQueueMs } = message.request;
-        asked.push({ engine: message.engine, expectedQueueMs });
+        requests.push({ engine: message.engine, expectedQueueMs });
         admissions.receiveReply(
             "owner",
             expectedQueueMs === undefined
@@ -166,9 +166,9 @@
     });
     const ready = await chooser.chooseReady(createRequest(6000));
     assert.is(ready?.choice.version, 3);
-    assert.is(asked.length, 5);
-    assert.equal(new Set(asked.slice(0, 2).map(({ engine }) => engine)), new Set(["e1", "e2"]));
-    assert.equal(asked.map(({ expectedQueueMs }) => expectedQueueMs !== undefined), [true, true, true, true, false]);
+    assert.is(requests.length, 5);
+    assert.equal(new Set(requests.slice(0, 2).map(({ engine }) => engine)), new Set(["e1", "e2"]));
+    assert.equal(requests.map(({ expectedQueueMs }) => expectedQueueMs !== undefined), [true, true, true, true, false]);
     assert.equal(view.findUpstream("e1")?.status?.held, { "base/a1": 3 });
     assert.is(view.readLoad("e2").backlogTokens, 90_000);
 });
@@ -179,9 +179,9 @@
             admissions.receiveReply("owner", { kind: "admitted", ticket: message.request.ticket, version: 2 });
         }
     });
-    const news = view.findUpstream("e1")!.status!;
-    const load = { ...news.load, backlogTokens: 120_000 };
-    view.updateStatus("owner", { ...news, revision: 2, held: { "base/a1": 1 }, load }, performance.now());
+    const status = view.findUpstream("e1")!.status!;
+    const load = { ...status.load, backlogTokens: 120_000 };
+    view.updateStatus("owner", { ...status, revision: 2, held: { "base/a1": 1 }, load }, performance.now());
     view.versions.update("base/a1", 2, performance.now());
     await chooser.chooseReady(createRequest(6000));
     assert.equal(messages.flatMap(message => message.type === "admit" ? [message.request.version] : []), [2]);
@@ -189,8 +189,8 @@
 
 test("a request whose owner does not reply is sent without admission to an engine with the adapter", async () => {
     const { chooser, messages, view } = createChooser(["e1"], () => {});
-    const news = view.findUpstream("e1")!.status!;
-    view.updateStatus("owner", { ...news, revision: 2, held: { "base/a1": 4 } }, performance.now());
+    const status = view.findUpstream("e1")!.status!;
+    view.updateStatus("owner", { ...status, revision: 2, held: { "base/a1": 4 } }, performance.now());
     const ready = await chooser.chooseReady(createRequest(6000));
     assert.is(ready?.choice.version, 4);
     assert.equal(messages.map(message => message.type), ["admit", "ended"]);
@@ -205,8 +205,8 @@
             admissions.receiveReply("owner", { kind: "declined", ticket: message.request.ticket, expectedMs: 9000 });
         }
     }, () => performance.now() + bootAheadMs);
-    const news = view.findUpstream("e1")!.status!;
-    view.updateStatus("owner", { ...news, revision: 2, canOrder: false, held: { "base/a1": 1 } }, performance.now());
+    const status = view.findUpstream("e1")!.status!;
+    view.updateStatus("owner", { ...status, revision: 2, canOrder: false, held: { "base/a1": 1 } }, performance.now());
     view.versions.update("base/a1", 2, performance.now());
     await chooser.chooseReady(createRequest(100));
     assert.equal(versions, [undefined]);
@@ -214,7 +214,7 @@
     // The owner may not send orders, so only a loaded version can be chosen.
     assert.is(await chooser.chooseReady(createRequest(100)), undefined);
     assert.equal(versions, [undefined]);
-    view.updateStatus("owner", { ...news, revision: 3, held: { "base/a1": 1 } }, performance.now());
+    view.updateStatus("owner", { ...status, revision: 3, held: { "base/a1": 1 } }, performance.now());
     await chooser.chooseReady(createRequest(100));
     assert.equal(versions, [undefined, 2]);
 });
--- a/packages/node/test/engines.test.ts
+++ b/packages/node/test/engines.test.ts
@@ -42,7 +42,7 @@
     view.updateUpstream(createUpstream("e1@1", { name: "e1", bornAt: 1 }), 0);
     const statuses: EngineStatus[] = [];
     const messages: number[] = [];
-    const answers: AdmissionReply[] = [];
+    const replies: AdmissionReply[] = [];
     const readTime = () => 0;
     const engines = new OwnedEngines({
         vm: "a",
@@ -58,11 +58,11 @@
             messages.push(sent.length);
             statuses.push(...sent);
         },
-        sendReply: (_vm, answer) => answers.push(answer),
+        sendReply: (_vm, reply) => replies.push(reply),
         countOthers,
         timers,
     });
-    return { engines, statuses, messages, answers, view };
+    return { engines, statuses, messages, replies, view };
 }
 
 const request = {
@@ -79,12 +79,12 @@
 };
 
 test("releasing an engine declines waiting requests and sends a status with a higher revision than all before", () => {
-    const { engines, statuses, answers, view } = createEngines();
+    const { engines, statuses, replies, view } = createEngines();
     engines.update(() => true);
     engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     engines.update(() => false);
     engines.stop();
-    assert.equal(answers.map(({ kind }) => kind), ["queued", "declined"]);
+    assert.equal(replies.map(({ kind }) => kind), ["queued", "declined"]);
     const last = statuses.at(-1)!;
     assert.equal([last.isOwned, last.canOrder], [false, false]);
     for (const status of statuses) {
@@ -175,21 +175,21 @@
 });
 
 test("a VM replies notOwned to a request for admission to an engine that it does not own", () => {
-    const { engines, answers } = createEngines();
+    const { engines, replies } = createEngines();
     engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     engines.stop();
-    assert.equal(answers, [{ kind: "notOwned", ticket: 1 }]);
+    assert.equal(replies, [{ kind: "notOwned", ticket: 1 }]);
 });
 
 test("an owner admits no request for an adapter version replaced long ago, even if its VM was suspended since", () => {
-    const { engines, answers, view } = createEngines({ readBoot: () => 10_000 });
+    const { engines, replies, view } = createEngines({ readBoot: () => 10_000 });
     view.updateStatus("b", createEngineStatus("e1@1", { held: { "base/a1": 1 } }), 0);
     engines.update(() => true);
     engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request });
     view.versions.update("base/a1", 2, 0);
     engines.receiveAdmissionMessage("b", { type: "admit", engine: "e1@1", request: { ...request, ticket: 2 } });
     engines.stop();
-    assert.equal(answers.slice(0, 2).map(({ kind }) => kind), ["admitted", "queued"]);
+    assert.equal(replies.slice(0, 2).map(({ kind }) => kind), ["admitted", "queued"]);
 });
 
 test("an owner loads the newest known adapter version for a waiting request that names no version", async () => {
--- a/packages/node/test/fixtures.ts
+++ b/packages/node/test/fixtures.ts
@@ -79,7 +79,7 @@
 }
 
 /** Creates the status of an engine from an owner that may send it orders. */
-export function createEngineStatus(engine: string, news: Partial<EngineStatus> = {}): EngineStatus {
+export function createEngineStatus(engine: string, status: Partial<EngineStatus> = {}): EngineStatus {
     return {
         engine,
         fence: 1,
@@ -93,7 +93,7 @@
         coldLoadMs: 250,
         warmLoadMs: 25,
         load: idleLoad,
-        ...news,
+        ...status,
     };
 }
 
--- a/packages/node/test/isolation.test.ts
+++ b/packages/node/test/isolation.test.ts
@@ -2,9 +2,9 @@
 import * as assert from "uvu/assert";
 import { IsolationMonitor } from "../src/knowledge/isolation.js";
 
-function runChecks(...signs: [hasOthers: boolean, othersQuietMs: number, storeQuietMs: number][]): boolean[] {
+function runChecks(...signals: [hasOthers: boolean, othersQuietMs: number, storeQuietMs: number][]): boolean[] {
     const monitor = new IsolationMonitor();
-    return signs.map(([hasOthers, othersQuietMs, storeQuietMs]) => {
+    return signals.map(([hasOthers, othersQuietMs, storeQuietMs]) => {
         monitor.update({ hasOthers, othersQuietMs, storeQuietMs, isMesh: true });
         return monitor.isIsolated;
     });
--- a/packages/node/test/leaving.test.ts
+++ b/packages/node/test/leaving.test.ts
@@ -93,11 +93,11 @@
         onRedirect: () => {},
     });
     const ready = chooser.chooseReady(createRequest());
-    const asked = sent.find(message => message.type === "admit")!;
+    const admit = sent.find(message => message.type === "admit")!;
     // From now on engine e2 can take the request; `leave` announces that e1 is leaving.
     addEngine("e2");
     const leave = (): void => view.updateUpstream(createUpstream("e1", { isLeaving: true }), readSteady());
-    return { view, admissions, sent, ready, ticket: asked.request.ticket, leave };
+    return { view, admissions, sent, ready, ticket: admit.request.ticket, leave };
 }
 
 test("a request that is admitted at an engine which is leaving by then goes to another engine", async () => {
@@ -127,7 +127,7 @@
 function createOwner() {
     const view = new FleetView();
     view.updateUpstream(createUpstream("e1"), 0);
-    const answers: AdmissionReply[] = [];
+    const replies: AdmissionReply[] = [];
     const orders: string[] = [];
     let sendReport: () => void = () => {};
     const engines = new OwnedEngines({
@@ -150,14 +150,14 @@
         mayOrder: () => true,
         readFence: () => 7,
         sendStatuses: () => {},
-        sendReply: (_vm, answer) => answers.push(answer),
+        sendReply: (_vm, reply) => replies.push(reply),
         countOthers: () => 2,
     });
     engines.update(() => true);
     return {
         view,
         engines,
-        answers,
+        replies,
         orders,
         ask: (ticket: number) => {
             const times = { runMs: 100, onTimeMs: 400, patienceMs: 4000, endMs: 9000 };
@@ -176,7 +176,7 @@
 }
 
 test("the owner of a leaving engine declines waiting and new requests and sends no more orders", async () => {
-    const { view, engines, answers, orders, ask, report } = createOwner();
+    const { view, engines, replies, orders, ask, report } = createOwner();
     ask(1);
     view.updateUpstream(createUpstream("e1", { isLeaving: true }), 0);
     engines.update(() => true);
@@ -185,16 +185,16 @@
     engines.prepareAdapter("e1", { key: "base/a2", version: 2, runMs: 0, onTimeMs: 0 });
     await report();
     engines.stop();
-    assert.equal(answers.map(({ kind, ticket }) => [kind, ticket]), [["queued", 1], ["declined", 1], ["declined", 2]]);
+    assert.equal(replies.map(({ kind, ticket }) => [kind, ticket]), [["queued", 1], ["declined", 1], ["declined", 2]]);
     assert.equal(orders, []);
 });
 
 test("the owner of an engine that is not leaving orders the load for a waiting request", async () => {
-    const { engines, answers, orders, ask, report } = createOwner();
+    const { engines, replies, orders, ask, report } = createOwner();
     ask(1);
     await report();
     engines.stop();
-    assert.equal(answers.map(({ kind }) => kind), ["queued", "declined"]);
+    assert.equal(replies.map(({ kind }) => kind), ["queued", "declined"]);
     assert.equal(orders, ["load a1"]);
 });
 
--- a/packages/node/test/links.test.ts
+++ b/packages/node/test/links.test.ts
@@ -9,7 +9,7 @@
 import { HubMonitor } from "../src/links/hub.js";
 import type { PeerMessage } from "../src/links/messages.js";
 import { Peers } from "../src/links/peers.js";
-import { type KnownMember, listWantedLinks } from "../src/links/topology.js";
+import { type KnownMember, listDesiredLinks } from "../src/links/topology.js";
 import { createSilentLog } from "./fixtures.js";
 
 const dataCentres = 6;
@@ -22,30 +22,30 @@
     }));
 }
 
-function countWanted(members: KnownMember[], index: number, isHub: boolean): number {
+function countDesired(members: KnownMember[], index: number, isHub: boolean): number {
     const { id, dataCentre } = members[index]!;
     const others = members.filter(member => member.id !== id);
-    return listWantedLinks({ self: { id: id!, dataCentre: dataCentre! }, members: others, isHub }).size;
+    return listDesiredLinks({ self: { id: id!, dataCentre: dataCentre! }, members: others, isHub }).size;
 }
 
 for (const count of [30, 100, 195, 374]) {
     test(`among ${count} VMs, a VM without engines keeps 2 links and a possible reader of the store 12`, () => {
         const members = createMembers(count);
-        assert.is(countWanted(members, count - 1, false), 2);
-        assert.is(countWanted(members, 0, false), 2 * dataCentres);
-        assert.is(countWanted(members, count - 1, true), count - 1);
+        assert.is(countDesired(members, count - 1, false), 2);
+        assert.is(countDesired(members, 0, false), 2 * dataCentres);
+        assert.is(countDesired(members, count - 1, true), count - 1);
     });
 }
 
 test("13 VMs form a full mesh", () => {
     const members = createMembers(13);
-    assert.is(countWanted(members, 12, false), 12);
+    assert.is(countDesired(members, 12, false), 12);
 });
 
 test("a VM keeps links to seeds until their names are known", () => {
     const members = [...createMembers(30), { id: undefined, address: "10.9.9.9:1" }];
-    const wanted = listWantedLinks({ self: { id: "vm999", dataCentre: "dc0" }, members, isHub: false });
-    assert.ok(wanted.has("10.9.9.9:1"));
+    const desired = listDesiredLinks({ self: { id: "vm999", dataCentre: "dc0" }, members, isHub: false });
+    assert.ok(desired.has("10.9.9.9:1"));
 });
 
 test("a VM that owns engines only for short assignments during startup does not link to all others", () => {
--- a/packages/node/test/metadata.test.ts
+++ b/packages/node/test/metadata.test.ts
@@ -20,9 +20,9 @@
     plain: { head: () => ({ requestId: "q" }), countsForUpstream: true },
     unnamed: { head: () => ({}), countsForUpstream: true },
     refused: { head: () => ({ isNotRun: true }), countsForUpstream: true },
-    outdated: { head: name => ({ isMisdirected: true, answeredBy: name }), countsForUpstream: true },
+    outdated: { head: name => ({ isMisdirected: true, sentBy: name }), countsForUpstream: true },
     misdirected: { head: () => ({ isMisdirected: true }), countsForUpstream: false },
-    ofAnother: { head: () => ({ isMisdirected: true, answeredBy: "other" }), countsForUpstream: false },
+    ofAnother: { head: () => ({ isMisdirected: true, sentBy: "other" }), countsForUpstream: false },
     late: { head: () => ({ requestId: "r" }), countsForUpstream: false },
 };
 
@@ -45,7 +45,7 @@
     fc.record({ kind: fc.constant("time" as const), ms: fc.integer({ min: 1, max: 3000 }) }),
     fc.record({ kind: fc.constant("deliver" as const) }),
     fc.record({
-        kind: fc.constant("answer" as const),
+        kind: fc.constant("response" as const),
         vm: vmArbitrary,
         name: nameArbitrary,
         incarnation: incarnationArbitrary,
@@ -107,13 +107,13 @@
                     }
                 }
                 break;
-            case "answer":
+            case "response":
                 this.receiveResponse(step);
         }
         this.vms.forEach(vm => this.check(vm));
     }
 
-    private receiveResponse(step: Extract<Step, { kind: "answer"; }>): void {
+    private receiveResponse(step: Extract<Step, { kind: "response"; }>): void {
         const { vm: index, name, incarnation, form, isLeaving, askedRestMs } = step;
         const vm = this.vms[index]!;
         const id = formatUpstreamId(name, incarnation);
@@ -123,7 +123,7 @@
             isNotRun: false,
             isMisdirected: false,
             isSigned: true,
-            answeredBy: undefined,
+            sentBy: undefined,
             isLeaving,
             askedRestMs,
             ...head(name),
@@ -145,13 +145,13 @@
     private check({ view, leaving, backoffEnds, sentMessages }: ReturnType<World["createVm"]>): void {
         const { now } = this;
         const chosen = chooseServer({ view, service, dataCentre: "z", now, penalties: new Map() });
-        const awake = new Set(view.listAvailable("desk", now).map(({ upstream }) => upstream.id));
-        assert.is(chosen !== undefined, awake.size > 0);
+        const available = new Set(view.listAvailable("desk", now).map(({ upstream }) => upstream.id));
+        assert.is(chosen !== undefined, available.size > 0);
         for (const { upstream } of view.listUpstreams()) {
             const { id } = upstream;
             const mayServe = !upstream.isLeaving && !leaving.has(id);
             assert.is(view.isUsable(id), mayServe);
-            assert.is(awake.has(id), mayServe && (backoffEnds.get(id) ?? 0) <= now);
+            assert.is(available.has(id), mayServe && (backoffEnds.get(id) ?? 0) <= now);
         }
         assert.is(new Set(sentMessages).size, sentMessages.length);
     }
--- a/packages/node/test/ownership.test.ts
+++ b/packages/node/test/ownership.test.ts
@@ -95,7 +95,7 @@
 test("a release is sent only after no order of its sender is in flight", async () => {
     for (let offsetMs = 0; offsetMs < 120; offsetMs += 7) {
         const world = await createWorld(["a", "b"]);
-        world.chooseFlightMs = vm => vm === "a" ? 85 : 1;
+        world.chooseTransitMs = vm => vm === "a" ? 85 : 1;
         await world.schedule.advance(offsetMs);
         world.planAssignment(() => "b");
         await world.schedule.advance(3000);
@@ -107,7 +107,7 @@
 test("a VM that stops waits for its last order before it announces the release", async () => {
     for (let offsetMs = 0; offsetMs < 420; offsetMs += 7) {
         const world = await createWorld(["a", "b"]);
-        world.chooseFlightMs = vm => vm === "a" ? 85 : 1;
+        world.chooseTransitMs = vm => vm === "a" ? 85 : 1;
         await world.schedule.advance(offsetMs);
         world.stop("a");
         await world.schedule.advance(3000);
@@ -360,8 +360,8 @@
 /** One event of a random history, and the time after it. */
 const step = fc.record({
     kind: fc.constantFrom(
-        "deal",
-        "dealToOne",
+        "assign",
+        "assignToOne",
         "kill",
         "stop",
         "stopAndKill",
@@ -369,13 +369,13 @@
         "cutOneWay",
         "openPaths",
         "cutOffStore",
-        "deafen",
+        "loseReplies",
         "reachStore",
         "outage",
         "outageEnd",
         "slow",
         "freeze",
-        "quiet",
+        "idle",
     ),
     vm: fc.nat(vms.length - 1),
     other: fc.nat(vms.length - 1),
@@ -391,10 +391,10 @@
     const startLater = (waitMs: number): void =>
         world.schedule.add(waitMs, () => world.processes.has(first) || world.start(first));
     switch (kind) {
-        case "deal":
+        case "assign":
             world.planAssignment(shard => vms[(shard + vm) % vms.length]);
             return;
-        case "dealToOne":
+        case "assignToOne":
             world.planAssignment(() => first);
             return;
         case "kill":
@@ -421,10 +421,10 @@
             vms.forEach(from => vms.forEach(to => world.findPath(from, to).isCut && world.openPath(from, to)));
             return;
         case "cutOffStore":
-        case "deafen":
+        case "loseReplies":
             // Known limitation: if most but not all VMs are cut off, the lease of a reassigned shard may be extended.
             if (world.cutOff.size + world.withoutReplies.size < 2) {
-                (kind === "deafen" ? world.withoutReplies : world.cutOff).add(first);
+                (kind === "loseReplies" ? world.withoutReplies : world.cutOff).add(first);
             }
             return;
         case "reachStore":
@@ -451,7 +451,7 @@
                 world.processes.get(first)!.pause(300 + downMs * 3);
             }
             return;
-        case "quiet":
+        case "idle":
             return;
     }
 }
@@ -465,7 +465,7 @@
                 random = (random * 16807 + 11) % 2147483647;
                 return random % max;
             };
-            world.chooseFlightMs = () => chooseMs(4) === 0 ? chooseMs(280) : 3;
+            world.chooseTransitMs = () => chooseMs(4) === 0 ? chooseMs(280) : 3;
             world.chooseOpeningMs = () => chooseMs(3) === 0 ? chooseMs(70) : 0;
             for (const each of steps) {
                 runStep(world, each);
@@ -484,7 +484,7 @@
 test("a late order that timed out does not arrive below a newer token of its VM", async () => {
     const world = await createWorld(["a", "b"]);
     let orders = 0;
-    world.chooseFlightMs = () => ++orders % 3 === 0 ? 205 : 3;
+    world.chooseTransitMs = () => ++orders % 3 === 0 ? 205 : 3;
     for (let deal = 0; deal < 10; deal++) {
         await world.schedule.advance(430);
         world.planAssignment(() => "a");
@@ -497,7 +497,7 @@
 test("the first order of the next holder does not arrive before a late order that timed out", async () => {
     for (let offsetMs = 0; offsetMs < 420; offsetMs += 7) {
         const world = await createWorld(["a", "b"]);
-        world.chooseFlightMs = vm => vm === "a" ? 205 : 1;
+        world.chooseTransitMs = vm => vm === "a" ? 205 : 1;
         await world.schedule.advance(offsetMs);
         world.planAssignment(() => "b");
         await world.schedule.advance(3000);
@@ -506,9 +506,10 @@
     }
 });
 
-// Guards against a restarted VM that waits without end. It gives orders in its first generation only after most VMs
-// know of its start, but most VMs are gone for good, and the store reassigns no shards while all members renew in time.
-test("a VM that restarts while most VMs are gone for good gives orders again within 6.5 s", async () => {
+// Guards against a restarted VM that waits without end. A VM gives orders in its first generation only after most VMs
+// know of its start, but most VMs are gone permanently, and the store reassigns no shards while all members renew in
+// time.
+test("a VM that restarts while most VMs are gone permanently gives orders again within 6.5 s", async () => {
     const world = await createWorld(["a", "b", "c", "d", "e"]);
     for (const vm of ["c", "d", "e"]) {
         world.kill(vm);
--- a/packages/node/test/permits.test.ts
+++ b/packages/node/test/permits.test.ts
@@ -3,7 +3,7 @@
 import { type PermitMessage, Permits } from "../src/crashes/permits.js";
 
 /** Creates VMs that claim permits for a suspect request from each other, over links that deliver messages at once. */
-function createVms(names: readonly string[], findReferee: () => string | undefined) {
+function createVms(names: readonly string[], findPermitIssuer: () => string | undefined) {
     const unreachable = new Set<string>();
     const vms = new Map<string, Permits>();
     for (const name of names) {
@@ -11,7 +11,7 @@
             name,
             new Permits({
                 readTime: () => 0,
-                findIssuer: findReferee,
+                findIssuer: findPermitIssuer,
                 send: (to: string, message: PermitMessage) => {
                     if (!unreachable.has(to)) {
                         vms.get(to)!.receiveMessage(name, message);
--- a/packages/node/test/shardgroup.ts
+++ b/packages/node/test/shardgroup.ts
@@ -153,8 +153,8 @@
     }
 
     private sendHandover(handover: Handover): boolean {
-        const heir = this.world.vms.find(vm => this.world.isLinked(this, vm) && !this.leaving.has(vm));
-        return heir !== undefined && this.world.send(this, heir, { kind: "handover", handover });
+        const receiver = this.world.vms.find(vm => this.world.isLinked(this, vm) && !this.leaving.has(vm));
+        return receiver !== undefined && this.world.send(this, receiver, { kind: "handover", handover });
     }
 
     private createTimers(): Timers {
@@ -191,17 +191,17 @@
                 if (!guard.checkBeforeSend()) {
                     return "conflict";
                 }
-                const flightMs = world.chooseFlightMs(this.vm);
-                if (flightMs < lostOrderMs) {
+                const transitMs = world.chooseTransitMs(this.vm);
+                if (transitMs < lostOrderMs) {
                     // A lost packet is retransmitted and arrives although its sender no longer waits for the order.
                     const { holder, fence } = guard;
                     world.schedule.add(
-                        flightMs,
+                        transitMs,
                         () => world.arrived.push({ engine: name, holder, fence, at: world.schedule.now }),
                     );
                 }
-                await world.wait(this, Math.min(flightMs, orderTimeoutMs));
-                return flightMs < orderTimeoutMs ? "holds" : "unknown";
+                await world.wait(this, Math.min(transitMs, orderTimeoutMs));
+                return transitMs < orderTimeoutMs ? "holds" : "unknown";
             },
             readReport: async (upstream: Upstream) => {
                 await world.wait(this, 5);
@@ -224,7 +224,7 @@
     readonly withoutReplies = new Set<string>();
     generation = 0;
     owners = new Map<number, string>();
-    chooseFlightMs: (vm: string) => number = () => 3;
+    chooseTransitMs: (vm: string) => number = () => 3;
     chooseOpeningMs: (vm: string) => number = () => 0;
     private readonly members = new Map<string, number>();
     private readonly paths = new Map<string, Path>();
@@ -294,10 +294,10 @@
         if (process === undefined || process.isLeaving) {
             return;
         }
-        process.schedule(() => this.beginStop(process));
+        process.schedule(() => this.startStop(process));
     }
 
-    private beginStop(process: VmProcess): void {
+    private startStop(process: VmProcess): void {
         process.isLeaving = true;
         void process.ownership.stop();
         process.broadcast({ kind: "leaving" });
@@ -372,7 +372,7 @@
         this.vms.forEach(vm => this.cutOff.add(vm));
     }
 
-    /** Ends an outage. @param hasTimePaused Whether membership time stood still during the outage. */
+    /** Ends an outage. @param hasTimePaused Whether membership time was stopped during the outage. */
     endOutage(hasTimePaused: boolean): void {
         this.cutOff.clear();
         if (hasTimePaused) {
--- a/packages/node/test/sharing.test.ts
+++ b/packages/node/test/sharing.test.ts
@@ -40,7 +40,7 @@
     }
 
     /** Opens the links of a VM: both sides of each link send their crash reports, as programs do when a link opens. */
-    sendGreetings(vm: Vm): void {
+    sendInitialMessages(vm: Vm): void {
         for (const other of this.vms) {
             this.send(vm.name, other.name, { type: "crashReports", reports: [...vm.reports.values()] });
             this.send(other.name, vm.name, { type: "crashReports", reports: [...other.reports.values()] });
@@ -201,7 +201,7 @@
                     fleet.vms.forEach(other => other.sharing.removeVm(chosen.name));
                 }
                 if (what === "start") {
-                    fleet.sendGreetings(chosen);
+                    fleet.sendInitialMessages(chosen);
                 }
                 fleet.append();
                 fleet.advance(waitMs);
--- a/packages/node/test/units.test.ts
+++ b/packages/node/test/units.test.ts
@@ -301,10 +301,10 @@
     const stopped = ownership.stop();
     await new Promise<void>(resolve => setImmediate(resolve));
     assert.equal(calls, ["renewal"]);
-    calls.push("answer");
+    calls.push("response");
     respond(undefined);
     await stopped;
-    assert.equal(calls, ["renewal", "answer", "leave"]);
+    assert.equal(calls, ["renewal", "response", "leave"]);
 });
 
 function createPeers(id: string, onOpen: () => void): Peers {
--- a/packages/node/test/versionhistories.test.ts
+++ b/packages/node/test/versionhistories.test.ts
@@ -15,7 +15,7 @@
         vm,
         ms,
     }),
-    fc.record({ kind: fc.constantFrom("storeAway" as const, "storeLate" as const, "lateOrders" as const), ms }),
+    fc.record({ kind: fc.constantFrom("storeOutage" as const, "storeLate" as const, "lateOrders" as const), ms }),
     fc.record({ kind: fc.constantFrom("trim" as const, "killAll" as const) }),
     fc.record({ kind: fc.constant("slow" as const), engine: fc.nat(keys.length - 1), ms }),
 );
--- a/packages/node/test/versionowner.ts
+++ b/packages/node/test/versionowner.ts
@@ -25,8 +25,8 @@
     readonly readFate: () => OrderFate;
     /** Schedules an order to be carried out later. */
     readonly delay: (run: () => void) => void;
-    readonly sendReply: (vm: string, answer: AdmissionReply) => void;
-    readonly sendStatus: (news: EngineStatus) => void;
+    readonly sendReply: (vm: string, reply: AdmissionReply) => void;
+    readonly sendStatus: (status: EngineStatus) => void;
 }
 
 /** Owner of one simulated engine: plans its adapter slots, admits requests, and sends its status. */
@@ -76,8 +76,8 @@
         const { engine, readTime, sendReply } = this.options;
         const now = readTime();
         engine.advance();
-        for (const { vm, answer } of this.admission.advance(now)) {
-            sendReply(vm, answer);
+        for (const { vm, reply } of this.admission.advance(now)) {
+            sendReply(vm, reply);
         }
         for (let steps = 0; steps < maxSteps; steps++) {
             const step = this.slotPlanner.decide(now, key => this.admission.countUses(key));
@@ -94,15 +94,15 @@
                 this.slotPlanner.applyOutcome(step.order, "unknown", now);
                 continue;
             }
-            const answer = engine.apply(step.order);
-            this.slotPlanner.applyOutcome(step.order, fate === "answered" ? answer : "unknown", now);
+            const outcome = engine.apply(step.order);
+            this.slotPlanner.applyOutcome(step.order, fate === "answered" ? outcome : "unknown", now);
         }
     }
 
     /** Sends the status of the engine if it has changed since it was last sent. */
     sendChanges(): void {
-        const news = this.createStatus();
-        const text = JSON.stringify({ ...news, revision: 0 });
+        const status = this.createStatus();
+        const text = JSON.stringify({ ...status, revision: 0 });
         if (text !== this.lastStatusText) {
             this.lastStatusText = text;
             this.revision += 1;
--- a/packages/node/test/versions.test.ts
+++ b/packages/node/test/versions.test.ts
@@ -8,7 +8,7 @@
 import { createAccountGuard, createSilentLog, engineService } from "./fixtures.js";
 
 const key = "base/a1";
-const nothingRead = { operator: -1, upstreams: -1 };
+const unreadPositions = { operator: -1, upstreams: -1 };
 
 function createVersion(version: number, ageMs?: number): ClusterChange {
     return { kind: "version", key, version, position: version, ageMs };
@@ -52,7 +52,7 @@
     const changes = first.cluster.applyChanges([createVersion(2, 300)]);
     assert.equal(changes, [createVersion(2, 300)]);
     first.now += 1700;
-    const later = first.cluster.listChangesAfter(nothingRead);
+    const later = first.cluster.listChangesAfter(unreadPositions);
     assert.equal(later, [createVersion(2, 2000)]);
     second.cluster.applyChanges(later);
     second.now += 600;
@@ -64,7 +64,7 @@
     informed.cluster.applyChanges([createVersion(2, 0)]);
     informed.now += 4000;
     informed.cluster.applyChanges([createVersion(3, 0)]);
-    const changes = informed.cluster.listChangesAfter(nothingRead);
+    const changes = informed.cluster.listChangesAfter(unreadPositions);
     behind.cluster.applyChanges(changes);
     assert.equal([1, 2].map(version => behind.mayUse(version)), [false, true]);
     ahead.cluster.applyChanges([createVersion(3, 0)]);
@@ -74,16 +74,16 @@
 });
 
 test("a VM that is sent a newer configuration also receives the versions that were announced before it", () => {
-    const [informed, asker] = [new LearningVm(), new LearningVm()];
+    const [informed, requester] = [new LearningVm(), new LearningVm()];
     const routing: ClusterChange = { kind: "routing", routing: plainRouting, position: 5 };
     informed.cluster.applyChanges([createVersion(2, 300), routing]);
     const sent: PeerMessage[] = [];
     const guard = createAccountGuard(informed.cluster, { send: (_vm, message) => sent.push(message) > 0 });
-    guard.receiveMessage("asker", { type: "confirmQuery", query: 1, position: -1 });
-    asker.cluster.applyChanges(sent.flatMap(message => message.type === "changes" ? message.changes : []));
-    assert.is(asker.cluster.isComplete, false);
-    assert.is(asker.cluster.findRouting()?.position, 5);
-    assert.is(asker.view.versions.findNewest(key)?.version, 2);
+    guard.receiveMessage("requester", { type: "confirmQuery", query: 1, position: -1 });
+    requester.cluster.applyChanges(sent.flatMap(message => message.type === "changes" ? message.changes : []));
+    assert.is(requester.cluster.isComplete, false);
+    assert.is(requester.cluster.findRouting()?.position, 5);
+    assert.is(requester.view.versions.findNewest(key)?.version, 2);
 });
 
 /** Two engines, one of which holds the first version of an adapter and one the second. */
--- a/packages/node/test/versionstore.ts
+++ b/packages/node/test/versionstore.ts
@@ -16,7 +16,7 @@
 }
 
 /** Response to a read. */
-export type ReadAnswer =
+export type ReadResponse =
     | { readonly kind: "records"; readonly records: readonly ClusterChange[]; readonly end: number; }
     /** The records at the position were trimmed. */
     | { readonly kind: "trimmed"; }
@@ -39,7 +39,7 @@
     append(key: string): void {
         const version = this.findNewest(key) + 1;
         this.records.push({ key, version, position: this.records.length, at: this.schedule.now });
-        [...this.waiting].forEach(look => look());
+        [...this.waiting].forEach(check => check());
     }
 
     findNewest(key: string): number {
@@ -52,14 +52,14 @@
     }
 
     /** Reads the records from a position on, or the newest record of each key if there is no position. */
-    read(vm: string, from: number | undefined, onAnswer: (answer: ReadAnswer) => void): void {
+    read(vm: string, from: number | undefined, onResponse: (response: ReadResponse) => void): void {
         let isDone = false;
         const askedAt = this.schedule.now;
-        const finish = (answer: ReadAnswer): void => {
+        const finish = (response: ReadResponse): void => {
             if (!isDone) {
                 isDone = true;
                 this.waiting.delete(check);
-                this.schedule.add(storeDelayMs + this.extraDelayMs, () => onAnswer(answer));
+                this.schedule.add(storeDelayMs + this.extraDelayMs, () => onResponse(response));
             }
         };
         const check = (): void => {
--- a/packages/node/test/versionvm.ts
+++ b/packages/node/test/versionvm.ts
@@ -70,7 +70,7 @@
     readonly engine: string;
 }
 
-type ReplyListener = (answer: AdmissionReply | "lost") => void;
+type ReplyListener = (reply: AdmissionReply | "lost") => void;
 
 /** One simulated process of a VM, which learns versions, owns engines and serves requests. */
 export class VersionVm {
@@ -139,7 +139,7 @@
         this.follow(undefined);
         this.runEvery(housekeepingMs, () => {
             this.sharing.update();
-            this.world.claimEngines(this);
+            this.world.updateOwners(this);
         });
         this.runEvery(ownerStepMs, () => this.owned.forEach(owner => owner.advance()));
         this.runEvery(statusIntervalMs, () => this.owned.forEach(owner => owner.sendChanges()));
@@ -186,12 +186,12 @@
         }
     }
 
-    receiveStatus(from: string, news: EngineStatus): void {
-        this.view.updateStatus(from, news, this.readTime());
+    receiveStatus(from: string, status: EngineStatus): void {
+        this.view.updateStatus(from, status, this.readTime());
     }
 
-    receiveReply(answer: AdmissionReply): void {
-        this.listeners.get(answer.ticket)?.receive(answer);
+    receiveReply(reply: AdmissionReply): void {
+        this.listeners.get(reply.ticket)?.receive(reply);
     }
 
     /** Handles a closed link to a VM. */
@@ -215,17 +215,17 @@
             findNewest: key => this.view.versions.findNewest(key)?.version,
             readFate: () => world.readFate(),
             delay: run => world.scheduleOrder(run),
-            sendReply: (vm, answer) => world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveReply(answer)),
-            sendStatus: news => this.sendStatus(news),
+            sendReply: (vm, reply) => world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveReply(reply)),
+            sendStatus: status => this.sendStatus(status),
         });
         this.owned.set(name, owner);
         owner.sendChanges();
     }
 
-    sendStatus(news: EngineStatus): void {
-        this.receiveStatus(this.vm, news);
+    sendStatus(status: EngineStatus): void {
+        this.receiveStatus(this.vm, status);
         for (const vm of this.world.listLinked(this.vm)) {
-            this.world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveStatus(this.vm, news));
+            this.world.sendTo(this.vm, vm, vmProcess => vmProcess.receiveStatus(this.vm, status));
         }
     }
 
@@ -254,8 +254,8 @@
         this.wait(ms, () => this.runEvery(ms, run));
     }
 
-    private broadcast(message: PeerMessage, isMeant: (vm: string) => boolean): void {
-        this.world.listLinked(this.vm).filter(isMeant).forEach(vm => this.world.sendMessage(this.vm, vm, message));
+    private broadcast(message: PeerMessage, isRecipient: (vm: string) => boolean): void {
+        this.world.listLinked(this.vm).filter(isRecipient).forEach(vm => this.world.sendMessage(this.vm, vm, message));
     }
 
     /** Reads the store as the platform's reader does: ages of records count from the last confirmed read. */
@@ -265,21 +265,21 @@
             return;
         }
         const askedAt = this.readBoot();
-        this.world.store.read(this.vm, from, answer =>
+        this.world.store.read(this.vm, from, response =>
             this.schedule(() => {
-                this.cluster.setReachable(answer.kind !== "failed");
-                if (answer.kind === "failed") {
+                this.cluster.setReachable(response.kind !== "failed");
+                if (response.kind === "failed") {
                     this.wait(this.backoffMs, () => this.follow(from));
                     this.backoffMs = Math.min(this.backoffMs * 2, maxBackoffMs);
                     return;
                 }
                 this.backoffMs = 100;
                 this.storeRepliedAt = this.readTime();
-                if (answer.kind === "trimmed") {
+                if (response.kind === "trimmed") {
                     this.follow(undefined);
                     return;
                 }
-                const { records, end } = answer;
+                const { records, end } = response;
                 const ageMs = this.confirmedAt === undefined ? undefined : this.readBoot() - this.confirmedAt;
                 this.receiveChanges(records.map(record => record.kind === "version" ? { ...record, ageMs } : record));
                 const hasWaited = from !== undefined && records.length === 0 && this.readBoot() - askedAt >= readWaitMs;
@@ -319,14 +319,14 @@
             this.wait(recheckIntervalMs, () => this.runCall(open));
             return;
         }
-        if (this.canAsk(choice.state)) {
+        if (this.canAskOwner(choice.state)) {
             this.askOwner(open, choice, now);
             return;
         }
         this.send(open, choice, undefined);
     }
 
-    private canAsk({ owner }: UpstreamState): boolean {
+    private canAskOwner({ owner }: UpstreamState): boolean {
         return owner !== undefined && (owner === this.vm || this.world.listLinked(this.vm).includes(owner))
             && (this.unresponsiveUntil.get(owner) ?? -Infinity) <= this.readTime();
     }
@@ -349,7 +349,7 @@
             },
             longPromptTokens: Infinity,
             findCachedTokens: () => 0,
-            canAskOwner: state => this.canAsk(state),
+            canAskOwner: state => this.canAskOwner(state),
         };
         const choice = chooseEngine(options);
         const newest = this.view.versions.findNewest(call.key)?.version ?? 0;
@@ -378,25 +378,25 @@
         const engine = choice.state.upstream.id;
         const ticket: Ticket = { id, owner, engine };
         const callerLimitMs = Math.max(0, open.startedAt + lastSendMs - now);
-        let hasAnswer = false;
+        let hasReply = false;
         this.listeners.set(id, {
             owner,
-            receive: answer => {
-                hasAnswer = true;
-                if (answer === "lost" || answer.kind !== "queued") {
+            receive: reply => {
+                hasReply = true;
+                if (reply === "lost" || reply.kind !== "queued") {
                     this.listeners.delete(id);
-                    this.receiveOutcome(open, choice, ticket, answer);
+                    this.receiveOutcome(open, choice, ticket, reply);
                 }
             },
         });
         const expireAfter = (ms: number, isExpected: () => boolean): void =>
             this.wait(ms, () => {
                 if (this.listeners.has(id) && !isExpected()) {
-                    this.unresponsiveUntil.set(owner, hasAnswer ? 0 : this.readTime() + unresponsivePauseMs);
+                    this.unresponsiveUntil.set(owner, hasReply ? 0 : this.readTime() + unresponsivePauseMs);
                     this.listeners.get(id)!.receive("lost");
                 }
             });
-        expireAfter(replyTimeoutMs, () => hasAnswer);
+        expireAfter(replyTimeoutMs, () => hasReply);
         expireAfter(callerLimitMs, () => false);
         const request = {
             ticket: id,
@@ -415,7 +415,11 @@
         this.world.sendTo(this.vm, owner, vmProcess => {
             const owned = vmProcess.owned.get(engine);
             if (owned === undefined) {
-                this.world.sendTo(vmProcess.vm, this.vm, asker => asker.receiveReply({ kind: "notOwned", ticket: id }));
+                this.world.sendTo(
+                    vmProcess.vm,
+                    this.vm,
+                    requester => requester.receiveReply({ kind: "notOwned", ticket: id }),
+                );
                 return;
             }
             owned.ask(this.vm, request);
@@ -426,7 +430,7 @@
         open: OpenCall,
         choice: UpstreamChoice,
         ticket: Ticket,
-        answer: AdmissionReply | "lost",
+        reply: AdmissionReply | "lost",
     ): void {
         const now = this.readTime();
         const { key } = open.call;
@@ -435,20 +439,20 @@
             open.tried.set(ticket.engine, { costMs, until: now + ms });
             this.wait(5, () => this.runCall(open));
         };
-        if (answer === "lost" || answer.kind === "notOwned" || answer.kind === "queued") {
+        if (reply === "lost" || reply.kind === "notOwned" || reply.kind === "queued") {
             retry(200, rejectedPauseMs);
         }
-        else if (answer.kind === "declined") {
-            retry(answer.expectedMs, declinedPauseMs);
+        else if (reply.kind === "declined") {
+            retry(reply.expectedMs, declinedPauseMs);
         }
-        else if (answer.kind === "busier") {
+        else if (reply.kind === "busier") {
             open.redirects += 1;
-            const { load, version, isComing } = answer;
+            const { load, version, isComing } = reply;
             this.view.updateLoad(ticket.engine, load, { key, version, isComing }, now);
             retry(0, 0);
         }
-        else if ((answer.version ?? Infinity) >= (this.view.versions.findOldestUsable(key, this.readBoot()) ?? 0)) {
-            this.send(open, { ...choice, version: answer.version }, ticket);
+        else if ((reply.version ?? Infinity) >= (this.view.versions.findOldestUsable(key, this.readBoot()) ?? 0)) {
+            this.send(open, { ...choice, version: reply.version }, ticket);
         }
         else {
             retry(0, 0);
--- a/packages/node/test/versionworld.ts
+++ b/packages/node/test/versionworld.ts
@@ -43,7 +43,7 @@
 export type HistoryStep =
     | { readonly kind: "name"; readonly key: number; }
     | { readonly kind: "freeze" | "kill" | "cut" | "turnAway"; readonly vm: number; readonly ms: number; }
-    | { readonly kind: "storeAway" | "storeLate" | "lateOrders" | "calm"; readonly ms: number; }
+    | { readonly kind: "storeOutage" | "storeLate" | "lateOrders" | "calm"; readonly ms: number; }
     | { readonly kind: "trim" | "killAll"; }
     | { readonly kind: "slow"; readonly engine: number; readonly ms: number; };
 
@@ -101,7 +101,7 @@
     }
 
     /** Starts all VMs and callers, and runs a history. */
-    runHistory(entries: readonly HistoryEntry[], restMs = 8000): void {
+    runHistory(entries: readonly HistoryEntry[], settleMs = 8000): void {
         this.store.append("base/other");
         this.vms.forEach(vm => this.startVm(vm));
         this.schedule.run(stableWindowMs / 2);
@@ -111,7 +111,7 @@
             this.apply(step);
             this.schedule.run(waitMs);
         }
-        this.schedule.run(restMs);
+        this.schedule.run(settleMs);
     }
 
     readRandom(): number {
@@ -170,13 +170,13 @@
     }
 
     /** Lets a VM own its initial engine, and engines whose owners have been gone for long enough. */
-    claimEngines(vmProcess: VersionVm): void {
+    updateOwners(vmProcess: VersionVm): void {
         const { now } = this.schedule;
         for (const [index, name] of engineNames.entries()) {
             const owner = this.owners.get(name);
             const isFree = owner === undefined || (owner.lostAt !== undefined && now - owner.lostAt >= ownerGapMs);
-            const isTurn = owner !== undefined || this.vms[index] === vmProcess.vm;
-            if (isFree && isTurn && vmProcess.isComplete) {
+            const mayOwn = owner !== undefined || this.vms[index] === vmProcess.vm;
+            if (isFree && mayOwn && vmProcess.isComplete) {
                 const fence = (owner?.fence ?? 0) + 1;
                 this.owners.set(name, { vm: vmProcess.vm, fence, lostAt: undefined });
                 vmProcess.own(name, fence);
@@ -205,7 +205,7 @@
             case "turnAway":
                 this.refuseVm(this.vms[step.vm]!, step.ms);
                 return;
-            case "storeAway":
+            case "storeOutage":
                 this.store.isUnavailable = true;
                 this.addDisruption("store", undefined, step.ms);
                 this.schedule.add(step.ms, () => this.store.isUnavailable = false);
@@ -395,11 +395,11 @@
 
     /** Finds from when the time since a replacement counts; Infinity if the VM was not connected for long enough. */
     private findCountedSince(replacedAt: number, { request, at }: StartedRequest): number {
-        const inTouchFrom = request.sentAt - stableWindowMs;
+        const connectedSince = request.sentAt - stableWindowMs;
         let since = replacedAt;
         for (const { what, vm, until } of this.disruptions.filter(({ from }) => from <= at)) {
             const isOwn = what === "store" || (what === "vm" && vm === request.vm);
-            if (isOwn && until >= inTouchFrom) {
+            if (isOwn && until >= connectedSince) {
                 return Infinity;
             }
             if (what !== "vm") {
