--- a/packages/fleet/test/overload.test.ts
+++ b/packages/fleet/test/overload.test.ts
@@ -117,7 +117,7 @@
     };
 }
 
-test("an overloaded engine serves more requests, and more within the target, than by arrival, also long ones", () => {
+test("an overloaded engine serves more requests, and more in time, than in order of arrival, also long ones", () => {
     for (const seed of [1, 2, 3]) {
         const ordered = measure(runWorkload(seed, true));
         const byArrival = measure(runWorkload(seed, false));
