--- a/packages/agent/src/placing.ts
+++ b/packages/agent/src/placing.ts
@@ -130,7 +130,7 @@
         return {
             stallWeight: this.policy?.stallWeight,
             trialSlotShare: this.policy?.trialSlotShare,
-            readRate: (now: number) => this.share.readRate(now),
+            readRate: (now: number) => this.share.readLoadRate(now),
             loadTimeoutMs: this.options.loadTimeoutMs,
         };
     }
@@ -151,7 +151,7 @@
             this.options.sendShare({
                 type: "storeShare",
                 dataCentre: this.options.dataCentre,
-                isWanting: this.placer.isWanting,
+                isWanting: this.placer.hasLoadRequests,
             });
         }
         this.sendOutlook();
--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -1,5 +1,5 @@
 import type { EngineLimits, Service } from "@radishreel/routing";
-import { rankPreferredEngines } from "./rank.js";
+import { rankByRendezvous } from "./rank.js";
 import { findAdapterKey, type ModelDemand, type UpstreamLoad } from "./types.js";
 import type { FleetView, UpstreamState } from "./view.js";
 
@@ -179,7 +179,7 @@
     const key = findAdapterKey(demand);
     const preferredEngines = key === undefined
         ? []
-        : rankPreferredEngines(key, usable.map(state => ({ id: state.upstream.id })));
+        : rankByRendezvous(key, usable.map(state => ({ id: state.upstream.id })));
     const preferenceRanks = new Map(preferredEngines.map(({ id }, rank) => [id, rank]));
     const candidates = usable.map(state => {
         const version = key === undefined ? undefined : findUsableVersion(options, state, key);
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -38,7 +38,7 @@
     type QuotaVerdict,
     readShareLeaseMs,
 } from "./quota.js";
-export { rankPreferredEngines } from "./rank.js";
+export { rankByRendezvous } from "./rank.js";
 export { type LeaseReason, maxOrderTransitMs, readShard, ShardLeases, type ShardLeasesOptions } from "./shardleases.js";
 export { EngineSlotPlanner, type EngineSlotPlannerOptions } from "./slotplanner.js";
 export {
--- a/packages/fleet/src/rank.ts
+++ b/packages/fleet/src/rank.ts
@@ -25,7 +25,7 @@
  * to an engine that held it recently and still has it in host memory, from where it loads in a tenth of the time. The
  * order is computed over all engines for each request, for which a cryptographic hash would be too slow.
  */
-export function rankPreferredEngines<Item extends { readonly id: string; }>(
+export function rankByRendezvous<Item extends { readonly id: string; }>(
     key: string,
     items: readonly Item[],
 ): Item[] {
--- a/packages/fleet/test/choose.test.ts
+++ b/packages/fleet/test/choose.test.ts
@@ -12,7 +12,7 @@
     PauseThreshold,
     PrefixCache,
     PromptHistory,
-    rankPreferredEngines,
+    rankByRendezvous,
     type Upstream,
     type UpstreamLoad,
     type UpstreamState,
@@ -228,8 +228,8 @@
 test("the removal of an engine changes the preferred engine only of the adapters that preferred it", () => {
     const items = ["e1", "e2", "e3", "e4"].map(id => ({ id }));
     for (let index = 0; index < 50; index++) {
-        const before = rankPreferredEngines(`k${index}`, items)[0]!.id;
-        const after = rankPreferredEngines(`k${index}`, items.filter(({ id }) => id !== "e4"))[0]!.id;
+        const before = rankByRendezvous(`k${index}`, items)[0]!.id;
+        const after = rankByRendezvous(`k${index}`, items.filter(({ id }) => id !== "e4"))[0]!.id;
         assert.ok(before === "e4" || before === after);
     }
 });
@@ -271,7 +271,7 @@
     const items = Array.from({ length: 98 }, (_, index) => ({ id: `engine-${index}` }));
     const counts = new Map<string, number>();
     for (let index = 0; index < 9800; index += 1) {
-        const [first, second] = rankPreferredEngines(`base/a${index}`, items);
+        const [first, second] = rankByRendezvous(`base/a${index}`, items);
         for (const name of [`first ${first!.id}`, `second ${second!.id}`]) {
             counts.set(name, (counts.get(name) ?? 0) + 1);
         }
--- a/packages/gateway/src/uses.ts
+++ b/packages/gateway/src/uses.ts
@@ -1,5 +1,5 @@
 import type { CustomerClass } from "@radishreel/dispatch";
-import type { Use } from "@radishreel/protocol";
+import type { ModelUse } from "@radishreel/protocol";
 
 interface MutableUse {
     readonly engineId: string;
@@ -12,7 +12,7 @@
 export class UseCounter {
     private readonly uses = new Map<string, MutableUse>();
     /** Uses whose end the engine did not confirm, and the first renewal that reports them. */
-    private readonly unconfirmed = new Map<string, { use: Use; since: number; }>();
+    private readonly unconfirmed = new Map<string, { use: ModelUse; since: number; }>();
 
     /** Counts a request that is being dispatched. */
     add(engineId: string, model: string, customerClass: CustomerClass): void {
@@ -50,11 +50,11 @@
         return isLast;
     }
 
-    list(): Use[] {
+    list(): ModelUse[] {
         return [...this.uses.values()].map(use => ({ ...use }));
     }
 
-    listUnconfirmed(): Use[] {
+    listUnconfirmed(): ModelUse[] {
         return [...this.unconfirmed.values()].map(({ use }) => use);
     }
 
--- a/packages/node/src/accounts/quotas.ts
+++ b/packages/node/src/accounts/quotas.ts
@@ -3,7 +3,7 @@
     type QuotaLimit,
     QuotaPool,
     type QuotaVerdict,
-    rankPreferredEngines,
+    rankByRendezvous,
     readShard,
     readShareLeaseMs,
 } from "@radishreel/fleet";
@@ -336,7 +336,7 @@
 
 /** Ranks VMs by rendezvous hashing in the order in which they would coordinate a group. */
 function rankCoordinators(group: number, vms: readonly string[]): string[] {
-    return rankPreferredEngines(`accounts ${group}`, vms.map(id => ({ id }))).map(({ id }) => id);
+    return rankByRendezvous(`accounts ${group}`, vms.map(id => ({ id }))).map(({ id }) => id);
 }
 
 /** The group to which an account is assigned. */
--- a/packages/node/src/crashes/guard.ts
+++ b/packages/node/src/crashes/guard.ts
@@ -1,7 +1,7 @@
 import {
     type CrashReport,
     type FleetView,
-    rankPreferredEngines,
+    rankByRendezvous,
     type RefusedRequest,
     type Upstream,
 } from "@radishreel/fleet";
@@ -219,6 +219,6 @@
 
     /** The VM that issues the permits of a suspect request for all VMs. */
     private findPermitIssuer(request: string): string | undefined {
-        return rankPreferredEngines(request, this.options.listPermitIssuers().map(id => ({ id })))[0]?.id;
+        return rankByRendezvous(request, this.options.listPermitIssuers().map(id => ({ id })))[0]?.id;
     }
 }
--- a/packages/node/src/links/accepted.ts
+++ b/packages/node/src/links/accepted.ts
@@ -40,7 +40,7 @@
     listQuietMs(now: number): number[] {
         const open = [...this.links.values()]
             .filter(({ peer }) => peer.dataCentre !== this.dataCentre)
-            .map(({ quietMs }) => quietMs);
+            .map(({ receiveIdleMs }) => receiveIdleMs);
         return this.lostAt === undefined ? open : [...open, now - this.lostAt];
     }
 }
--- a/packages/node/src/links/linklimits.ts
+++ b/packages/node/src/links/linklimits.ts
@@ -12,8 +12,8 @@
 const meshLimits = resolveLinkLimits({
     heartbeatMs: 400,
     silenceMs: 1500,
-    callerHeartbeatMs: 1200,
-    callerSilenceMs: 3000,
+    clientHeartbeatMs: 1200,
+    clientSilenceMs: 3000,
     maxFrameBytes,
 });
 
--- a/packages/node/src/links/peers.ts
+++ b/packages/node/src/links/peers.ts
@@ -223,7 +223,7 @@
         const now = readTime();
         const opened = [...this.peersByAddress.values()]
             .filter(({ dataCentre }) => dataCentre !== undefined && dataCentre !== self.dataCentre)
-            .map(({ link, lastOpenAt }) => link?.quietMs ?? now - lastOpenAt);
+            .map(({ link, lastOpenAt }) => link?.receiveIdleMs ?? now - lastOpenAt);
         const silences = this.isMesh ? opened : [...opened, ...this.accepted.listQuietMs(now)];
         return silences.length === 0 ? undefined : Math.min(...silences);
     }
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -120,7 +120,7 @@
     }
 
     /** Whether a load is running or requests in this data centre wait for one. */
-    get isWanting(): boolean {
+    get hasLoadRequests(): boolean {
         return this.pendingLoad !== undefined || this.demand.paying.size > 0 || this.demand.trial.size > 0;
     }
 
--- a/packages/placement/src/share.ts
+++ b/packages/placement/src/share.ts
@@ -47,7 +47,7 @@
     }
 
     /** Returns the loads per second that this data centre may start now. */
-    readRate(now: number): number {
+    readLoadRate(now: number): number {
         const { dataCentre, loadsPerSecond, weights } = this.options;
         const own = weights[dataCentre] ?? 1;
         let total = own;
--- a/packages/placement/test/rank.test.ts
+++ b/packages/placement/test/rank.test.ts
@@ -62,14 +62,14 @@
         const share = new StoreShare({ dataCentre: "here", loadsPerSecond: 2, weights: {} });
         share.addDataCentre("there");
         share.receive("there", isWanting, heardAt);
-        assert.is(share.readRate(100), rate);
+        assert.is(share.readLoadRate(100), rate);
     });
 }
 
 test("a data centre that has never sent a message counts as using its share", () => {
     const share = new StoreShare({ dataCentre: "here", loadsPerSecond: 3, weights: { there: 2 } });
     share.addDataCentre("there");
-    assert.is(share.readRate(0), 1);
+    assert.is(share.readLoadRate(0), 1);
 });
 
 test.run();
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -7,8 +7,8 @@
     type MessageOf,
     messageSchema,
     type ModelDemand,
+    type ModelUse,
     type OutgoingMessage,
     type ServiceUpstream,
-    type Use,
 } from "./messages.js";
 export { OfferingsSync } from "./sync.js";
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -259,4 +259,4 @@
 /** See {@link serviceUpstreamSchema}. */
 export type ServiceUpstream = z.infer<typeof serviceUpstreamSchema>;
 /** See {@link modelUseSchema}. */
-export type Use = z.infer<typeof modelUseSchema>;
+export type ModelUse = z.infer<typeof modelUseSchema>;
--- a/packages/wire/src/client.ts
+++ b/packages/wire/src/client.ts
@@ -53,7 +53,7 @@
             ...this.options,
             socket,
             self: this.options.self(),
-            limits: { ...limits, heartbeatMs: limits.callerHeartbeatMs },
+            limits: { ...limits, heartbeatMs: limits.clientHeartbeatMs },
             events: {
                 onBytes: (direction, count) => events.onBytes?.(direction, count),
                 onFrame: (direction, type) => events.onFrame?.(direction, type),
--- a/packages/wire/src/link.ts
+++ b/packages/wire/src/link.ts
@@ -86,7 +86,7 @@
     }
 
     /** Time since the last received bytes, in milliseconds. */
-    get quietMs(): number {
+    get receiveIdleMs(): number {
         return performance.now() - this.lastReceived;
     }
 
--- a/packages/wire/src/server.ts
+++ b/packages/wire/src/server.ts
@@ -51,7 +51,7 @@
             secret,
             schema,
             ticker,
-            limits: { ...limits, silenceMs: limits.callerSilenceMs },
+            limits: { ...limits, silenceMs: limits.clientSilenceMs },
             events: {
                 ...events,
                 onOpen: opened => events.onOpen(opened),
--- a/packages/wire/src/types.ts
+++ b/packages/wire/src/types.ts
@@ -45,9 +45,9 @@
     /** Time without received bytes after which the link is closed, in milliseconds. @default 3000 */
     readonly silenceMs: number;
     /** `heartbeatMs` of the side that opened the connection. @default heartbeatMs */
-    readonly callerHeartbeatMs: number;
+    readonly clientHeartbeatMs: number;
     /** `silenceMs` of the side that accepted the connection. @default silenceMs */
-    readonly callerSilenceMs: number;
+    readonly clientSilenceMs: number;
     /** Size of the largest accepted frame, in bytes. @default 1048576 */
     readonly maxFrameBytes: number;
     /** Largest send buffer, in bytes; the link is closed when more wait to be sent. @default 16777216 */
@@ -61,8 +61,8 @@
     return {
         heartbeatMs,
         silenceMs,
-        callerHeartbeatMs: limits.callerHeartbeatMs ?? heartbeatMs,
-        callerSilenceMs: limits.callerSilenceMs ?? silenceMs,
+        clientHeartbeatMs: limits.clientHeartbeatMs ?? heartbeatMs,
+        clientSilenceMs: limits.clientSilenceMs ?? silenceMs,
         maxFrameBytes: limits.maxFrameBytes ?? 1024 * 1024,
         maxBufferedBytes: limits.maxBufferedBytes ?? 16 * 1024 * 1024,
     };
