--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -3,7 +3,7 @@
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import { createHashingPolicy, createRoundRobinPolicy } from "./naive.js";
-import { RadishreelPolicy } from "./ours.js";
+import { RadishreelPolicy } from "./radishreel.js";
 import { createReport, formatReport } from "./report.js";
 import { listScenarios } from "./scenarios.js";
 import { type Policy, Simulation } from "./world.js";
--- a/packages/gateway/src/calls.ts
+++ b/packages/gateway/src/calls.ts
@@ -3,9 +3,9 @@
 import { createRefused, type RefusedVerdict, type Verdict } from "@radishreel/verdict";
 import { err, ok, type Result } from "neverthrow";
 import type { IncomingHttpHeaders } from "node:http";
-import type { CallerResponse } from "./caller.js";
 import type { Placement } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
+import type { CallerResponse } from "./response.js";
 import { type RunContext, UpstreamRun } from "./run.js";
 
 /** Path prefix of plain services. */
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -4,10 +4,10 @@
 import { err, ok, type Result } from "neverthrow";
 import { createHash } from "node:crypto";
 import { z } from "zod";
-import type { CallerResponse } from "./caller.js";
 import { readInstant } from "./clock.js";
 import { type Placement, priorityByClass } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
+import type { CallerResponse } from "./response.js";
 import { type RunContext, type UpstreamEnd, UpstreamRun } from "./run.js";
 
 /** Paths of completions. */
--- a/packages/gateway/src/forward.ts
+++ b/packages/gateway/src/forward.ts
@@ -1,9 +1,9 @@
 import { HttpServiceClient, type UpstreamConnections } from "@radishreel/upstreams";
 import { createMayHaveRun, type Verdict } from "@radishreel/verdict";
-import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
 import { readForwardedHeaders } from "./calls.js";
 import { createPeerProof, peerProofHeader } from "./peers.js";
 import { type CallerRequest, deadlineHeader, requestTokenHeader } from "./request.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./response.js";
 
 /** Headers that the issuing gateway needs to handle the request as if the caller had sent it there directly. */
 const forwardedRequestHeaders = ["authorization", "content-type", "accept", requestTokenHeader];
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,13 +7,13 @@
 import type { Server } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
 import { createMachine, interpret, state, transition } from "robot3";
-import { CallerRoutes } from "./callers.js";
 import { readInstant } from "./clock.js";
 import { ControlTask } from "./control.js";
 import { DispatchTask } from "./dispatching.js";
 import { forwardRequest } from "./forward.js";
 import { createHandoverRoute, sendHandover } from "./handover.js";
 import { HttpListener } from "./listener.js";
+import { CallerRoutes } from "./routes.js";
 import type { GatewaySettings } from "./settings.js";
 import { TokenRegistry } from "./tokens.js";
 
--- a/packages/gateway/src/callers.ts
+++ b/packages/gateway/src/routes.ts
@@ -10,12 +10,12 @@
 import { err, ok, type Result } from "neverthrow";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
-import { CallerResponse, jsonMediaType } from "./caller.js";
 import { type CallContext, parseCall, runCall, servicesPrefix } from "./calls.js";
 import { type CompletionContext, type CompletionPath, parseCompletion, runCompletion } from "./completions.js";
 import type { Route } from "./listener.js";
 import { checkPeerProof, peerProofHeader } from "./peers.js";
 import { type CallerRequest, readBody, readCustomer, readDeadlineMs, requestTokenHeader } from "./request.js";
+import { CallerResponse, jsonMediaType } from "./response.js";
 import { maxStoredResponseBytes, maxTokensPerRequest, type TokenRegistry } from "./tokens.js";
 
 /** Parts of the gateway that the callers' routes use. */
--- a/packages/gateway/src/run.ts
+++ b/packages/gateway/src/run.ts
@@ -1,10 +1,10 @@
 import type { GatewayMetrics } from "@radishreel/telemetry";
 import type { Attempt } from "@radishreel/upstreams";
 import { createRefused, type Verdict } from "@radishreel/verdict";
-import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
 import type { ControlTask } from "./control.js";
 import type { DispatchTask, Placement } from "./dispatching.js";
 import type { CallerRequest } from "./request.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./response.js";
 
 /** Parts of the gateway that every run uses. */
 export interface RunContext {
--- a/packages/gateway/src/tokens.ts
+++ b/packages/gateway/src/tokens.ts
@@ -8,8 +8,8 @@
 } from "@radishreel/tokens";
 import { createMayHaveRun, createRefused, type Verdict } from "@radishreel/verdict";
 import { createHash } from "node:crypto";
-import { type CallerResponse, outcomeRetrySeconds } from "./caller.js";
 import { type CallerRequest, requestTokenHeader } from "./request.js";
+import { type CallerResponse, outcomeRetrySeconds } from "./response.js";
 
 /** Options of {@link TokenRegistry}. */
 export interface TokenRegistryOptions {
--- a/packages/gateway/test/leases.test.ts
+++ b/packages/gateway/test/leases.test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { LeaseHolder } from "../src/leases.js";
-import { type BrokenRules, type LeaseFaults, LeaseSimulation } from "./world.js";
+import { type BrokenRules, type LeaseFaults, LeaseSimulation } from "./simulation.js";
 
 const seeds = Number(process.env.RADISHREEL_SEEDS ?? 150);
 const durationMs = 6000;
