--- a/scripts/mutations.mjs
+++ b/scripts/mutations.mjs
@@ -12,7 +12,7 @@
 const mutations = [
     [
         "placement/dist/src/owner.js",
-        "engine.reportAskedAt >= slot.doubtAt + this.reportLagMs && slot.running === 0",
+        "engine.reportAskedAt >= slot.uncertainAt + this.reportLagMs && slot.running === 0",
         "true",
         "packages/placement/dist/test/owner.test.js",
     ],
@@ -25,7 +25,7 @@
     [
         "placement/dist/src/owner.js",
         "engine.mustReclaim = true;",
-        "slot.isEvictionOpen = false;",
+        "slot.isEvictionPending = false;",
         "packages/gateway/dist/test/leases.test.js",
     ],
     [
