--- a/packages/agent/src/placing.ts
+++ b/packages/agent/src/placing.ts
@@ -18,7 +18,7 @@
     readonly sendToGateways: (message: OutgoingMessage) => void;
     /** Sends to the other agents of the data centre. */
     readonly sendToAgents: (message: OutgoingMessage) => void;
-    /** Sends to all agents whether this data centre wants loads from the store. */
+    /** Sends to all agents whether this data centre needs loads from the weight store. */
     readonly sendShare: (message: MessageOf<"storeShare">) => void;
 }
 
@@ -64,7 +64,7 @@
     /**
      * Starts or stops being the placer. Returns whether this is a change.
      *
-     * A new placer knows nothing and asks all nodes for their state. A node that detected the change earlier sent its
+     * A new placer has no state and asks all nodes for theirs. A node that detected the change earlier sent its
      * state while this agent still forwarded it to the previous placer, and would not send it again.
      */
     setActive(isActive: boolean): boolean {
--- a/packages/placement/test/rank.test.ts
+++ b/packages/placement/test/rank.test.ts
@@ -51,17 +51,17 @@
 });
 
 /** Last report of the other of two data centres with equal shares, and the load rate permitted to this one. */
-const shareCases: readonly { name: string; isWanting: boolean; heardAt: number; rate: number; }[] = [
-    { name: "uses its share", isWanting: true, heardAt: 0, rate: 1 },
-    { name: "lends its share", isWanting: false, heardAt: 0, rate: 2 },
-    { name: "lent its share but sends no more messages", isWanting: false, heardAt: -10_000, rate: 1 },
+const shareCases: readonly { name: string; isWanting: boolean; receivedAt: number; rate: number; }[] = [
+    { name: "uses its share", isWanting: true, receivedAt: 0, rate: 1 },
+    { name: "lends its share", isWanting: false, receivedAt: 0, rate: 2 },
+    { name: "lent its share but sends no more messages", isWanting: false, receivedAt: -10_000, rate: 1 },
 ];
 
-for (const { name, isWanting, heardAt, rate } of shareCases) {
+for (const { name, isWanting, receivedAt, rate } of shareCases) {
     test(`${rate} loads per second may start when the other data centre ${name}`, () => {
         const share = new StoreShare({ dataCentre: "here", loadsPerSecond: 2, weights: {} });
         share.addDataCentre("there");
-        share.receive("there", isWanting, heardAt);
+        share.receive("there", isWanting, receivedAt);
         assert.is(share.readLoadRate(100), rate);
     });
 }
--- a/packages/upstreams/test/exchange.test.ts
+++ b/packages/upstreams/test/exchange.test.ts
@@ -75,8 +75,8 @@
     { point: "request", bytes: 150, ran: false, verdict: "mayHaveRun" },
     { point: "beforeRun", ran: false, verdict: "mayHaveRun" },
     { point: "afterRun", ran: true, verdict: "mayHaveRun" },
-    { point: "answer", bytes: 5, ran: true, verdict: "mayHaveRun" },
-    { point: "answer", bytes: 150, ran: true, verdict: "mayHaveRun" },
+    { point: "response", bytes: 5, ran: true, verdict: "mayHaveRun" },
+    { point: "response", bytes: 150, ran: true, verdict: "mayHaveRun" },
     { point: "silent", ran: true, verdict: "mayHaveRun" },
     { point: "refuse", ran: false, verdict: "notRun" },
     { point: "never", ran: true, verdict: "complete" },
@@ -126,7 +126,7 @@
 test("a stream cut at any byte never has the verdict complete", () =>
     runWithServer(async (server, address, connections) => {
         for (let bytes = 1; bytes < streamResponse.length; bytes++) {
-            server.plan = { point: "answer", bytes, response: streamResponse };
+            server.plan = { point: "response", bytes, response: streamResponse };
             const { end, received } = await runCompletion(connections, address, true);
             assert.is(end.verdict.kind, "mayHaveRun", `cut after ${bytes} bytes`);
             assert.ok(
@@ -139,7 +139,7 @@
 test("a plain response cut at any byte is never passed to the caller", () =>
     runWithServer(async (server, address, connections) => {
         for (let bytes = 1; bytes < plainResponse.length; bytes++) {
-            server.plan = { point: "answer", bytes, response: plainResponse };
+            server.plan = { point: "response", bytes, response: plainResponse };
             const { end, hasReceivedHead } = await runCompletion(connections, address, false);
             assert.is(end.verdict.kind, "mayHaveRun", `cut after ${bytes} bytes`);
             assert.not(hasReceivedHead);
@@ -218,7 +218,7 @@
                 "request",
                 "beforeRun",
                 "afterRun",
-                "answer",
+                "response",
                 "refuse",
                 "never",
                 "never",
--- a/packages/upstreams/test/server.ts
+++ b/packages/upstreams/test/server.ts
@@ -13,7 +13,7 @@
     /** The upstream runs the request and closes the connection without a response. */
     | "afterRun"
     /** The upstream runs the request and closes the connection after some bytes of the response. */
-    | "answer"
+    | "response"
     /** The upstream refuses the request before running it, with the `x-not-run` header. */
     | "refuse"
     /** The upstream runs the request and sends the complete response. */
@@ -24,7 +24,7 @@
 /** What the upstream does with one request. */
 export interface ResponsePlan {
     readonly point: BreakPoint;
-    /** Number of bytes after which `request` and `answer` break. */
+    /** Number of bytes after which `request` and `response` break. */
     readonly bytes: number;
     /** The complete response, head and body. */
     readonly response: string;
@@ -87,7 +87,7 @@
             case "silent":
                 this.runs++;
                 return;
-            case "answer":
+            case "response":
                 this.runs++;
                 socket.write(response.slice(0, bytes), () => socket.destroy());
                 return;
