--- a/packages/dispatch/src/dispatcher.ts
+++ b/packages/dispatch/src/dispatcher.ts
@@ -6,8 +6,8 @@
 import { PrefixIndex } from "./prefixes.js";
 import { ModelQueue, type QueueEntry } from "./queue.js";
 import {
+    type AccountClass,
     type AttemptOutcome,
-    type CustomerClass,
     type DispatchCommand,
     type DispatcherOptions,
     type DispatchEvent,
@@ -26,7 +26,7 @@
     readonly startedAt: number;
 }
 
-const classes: readonly CustomerClass[] = ["paying", "trial"];
+const classes: readonly AccountClass[] = ["paying", "trial"];
 
 /** Cost reduction for an engine that has the prompt's prefix cached; costs from fullness are between 0 and 1. */
 const prefixBonus = 0.5;
@@ -39,7 +39,7 @@
 
 /**
  * Decides when and on which engine one gateway's requests run. Paying requests never wait behind trial requests,
- * customers of a class share capacity fairly, and a request that cannot meet its deadline is refused immediately.
+ * client accounts of a class share capacity fairly, and a request that cannot meet its deadline is refused immediately.
  * See docs/design/dispatch.md.
  */
 export class Dispatcher {
@@ -53,11 +53,11 @@
         [],
         (left, right) => left.request.deadlineAt - right.request.deadlineAt,
     );
-    private readonly clocks: Record<CustomerClass, VirtualClock> = {
+    private readonly clocks: Record<AccountClass, VirtualClock> = {
         paying: new VirtualClock(),
         trial: new VirtualClock(),
     };
-    private readonly queued: Record<CustomerClass, number> = { paying: 0, trial: 0 };
+    private readonly queued: Record<AccountClass, number> = { paying: 0, trial: 0 };
     private readonly changedModels = new Set<string>();
     private readonly prefixes = new PrefixIndex();
     private readonly budget: RetryBudget;
@@ -164,7 +164,7 @@
 
     private receiveRequest(request: DispatchRequest, now: number): void {
         const queue = this.findQueue(request.model);
-        queue.recordArrival(request.customerClass);
+        queue.recordArrival(request.accountClass);
         this.changedModels.add(request.model);
         const refusal = this.findRefusal(request, queue, now);
         if (refusal !== undefined) {
@@ -173,7 +173,7 @@
         }
         const entry: QueueEntry = {
             request,
-            tag: this.clocks[request.customerClass].createTag(request),
+            tag: this.clocks[request.accountClass].createTag(request),
             excluded: new Map(),
             stalledAt: queue.engines.size === 0 ? now : undefined,
             checkAt: this.readCheckAt(request, queue),
@@ -184,7 +184,7 @@
     }
 
     private findRefusal(request: DispatchRequest, queue: ModelQueue, now: number): DispatchCommand | undefined {
-        if (this.queued[request.customerClass] >= this.options.maxQueued) {
+        if (this.queued[request.accountClass] >= this.options.maxQueued) {
             const retryAfter = this.formatRetryAfter(this.readWaitMs(request, queue));
             return {
                 type: "refuse",
@@ -209,17 +209,17 @@
         if (queue.engines.size === 0) {
             // Other requests already wait for this load, so it starts before a load that is requested now.
             const isLoadRequested = queue.countWaiting("paying") + queue.countWaiting("trial") > 0;
-            const fullWaitMs = request.customerClass === "paying"
+            const fullWaitMs = request.accountClass === "paying"
                 ? this.outlook.payingWaitMs
                 : this.outlook.trialWaitMs;
             return isLoadRequested ? fullWaitMs / 2 : fullWaitMs;
         }
-        return this.readQueueWaitMs(queue, request.customerClass);
+        return this.readQueueWaitMs(queue, request.accountClass);
     }
 
     /** Returns the expected wait for batch room behind the requests that wait for the model, in milliseconds. */
-    private readQueueWaitMs(queue: ModelQueue, customerClass: CustomerClass): number {
-        const ahead = queue.countWaiting("paying") + (customerClass === "trial" ? queue.countWaiting("trial") : 0);
+    private readQueueWaitMs(queue: ModelQueue, accountClass: AccountClass): number {
+        const ahead = queue.countWaiting("paying") + (accountClass === "trial" ? queue.countWaiting("trial") : 0);
         let room = 0;
         let durationMs = 0;
         for (const engineId of queue.engines) {
@@ -239,7 +239,7 @@
     private enqueue(entry: QueueEntry, queue: ModelQueue): void {
         queue.push(entry);
         this.entries.set(entry.request.id, entry);
-        this.queued[entry.request.customerClass]++;
+        this.queued[entry.request.accountClass]++;
         this.deadlines.push(entry);
         this.changedModels.add(queue.model);
     }
@@ -248,7 +248,7 @@
         const queue = this.findQueue(entry.request.model);
         queue.remove(entry);
         this.entries.delete(entry.request.id);
-        this.queued[entry.request.customerClass]--;
+        this.queued[entry.request.accountClass]--;
         this.changedModels.add(queue.model);
     }
 
@@ -365,11 +365,11 @@
 
     /** Dispatches the waiting requests of one model while an engine on which the model is leased has room. */
     private serveModel(queue: ModelQueue, now: number): void {
-        for (const customerClass of classes) {
+        for (const accountClass of classes) {
             for (
-                let entry = queue.findHead(customerClass);
+                let entry = queue.findHead(accountClass);
                 entry !== undefined;
-                entry = queue.findHead(customerClass)
+                entry = queue.findHead(accountClass)
             ) {
                 const engine = this.chooseEngine(entry, queue, now);
                 if (engine === undefined) {
@@ -382,9 +382,9 @@
 
     /** Fills an engine's room from all models leased on it, paying requests first, in the order of their start tags. */
     private serveEngine(engine: EngineView, now: number): void {
-        for (const customerClass of classes) {
-            while (engine.hasRoom(customerClass, now)) {
-                const entry = this.findFirstWaiting(engine, customerClass, now);
+        for (const accountClass of classes) {
+            while (engine.hasRoom(accountClass, now)) {
+                const entry = this.findFirstWaiting(engine, accountClass, now);
                 if (entry === undefined) {
                     break;
                 }
@@ -393,10 +393,10 @@
         }
     }
 
-    private findFirstWaiting(engine: EngineView, customerClass: CustomerClass, now: number): QueueEntry | undefined {
+    private findFirstWaiting(engine: EngineView, accountClass: AccountClass, now: number): QueueEntry | undefined {
         let first: QueueEntry | undefined;
         for (const model of engine.models) {
-            const head = this.queues.get(model)?.findHead(customerClass);
+            const head = this.queues.get(model)?.findHead(accountClass);
             const isEligible = head !== undefined && !isExcluded(head, engine.id, now);
             if (isEligible && (first === undefined || head.tag < first.tag)) {
                 first = head;
@@ -412,7 +412,7 @@
             const engine = this.engines.get(engineId);
             if (
                 engine === undefined || isExcluded(entry, engineId, now)
-                || !engine.hasRoom(entry.request.customerClass, now)
+                || !engine.hasRoom(entry.request.accountClass, now)
             ) {
                 continue;
             }
@@ -441,9 +441,9 @@
         const { request, tag, stalledAt } = entry;
         const queue = this.findQueue(request.model);
         this.dequeue(entry);
-        this.clocks[request.customerClass].advance(tag);
+        this.clocks[request.accountClass].advance(tag);
         this.attempts.set(request.id, { entry, engineId: engine.id, startedAt: now });
-        engine.recordDispatch(request.customerClass);
+        engine.recordDispatch(request.accountClass);
         if (request.prefix !== undefined) {
             this.prefixes.recordCached(engine.id, request.prefix);
         }
@@ -464,7 +464,7 @@
         }
         this.attempts.delete(requestId);
         const engine = this.engines.get(attempt.engineId);
-        engine?.recordEnd(attempt.entry.request.customerClass);
+        engine?.recordEnd(attempt.entry.request.accountClass);
         this.recordAttempt(engine, attempt, outcome, reason, now);
         if (outcome === "notRun") {
             this.retry(attempt, reason ?? "connectFailed", now);
--- a/packages/dispatch/src/engine.ts
+++ b/packages/dispatch/src/engine.ts
@@ -1,4 +1,4 @@
-import type { CustomerClass, LeasedEngine, ResolvedDispatcherOptions } from "./types.js";
+import type { AccountClass, LeasedEngine, ResolvedDispatcherOptions } from "./types.js";
 
 /** Maximum pause of an engine that fails repeatedly, in milliseconds. */
 const maxPauseMs = 30_000;
@@ -67,13 +67,13 @@
      * Whether the engine may take a request of the class. For a paying request, trial requests do not count, since the
      * engine serves by priority. Trial requests get only their share of the batch while paying requests use the engine.
      */
-    hasRoom(customerClass: CustomerClass, now: number): boolean {
+    hasRoom(accountClass: AccountClass, now: number): boolean {
         if (this.lease.isLeaving || now < this.pausedUntil) {
             return false;
         }
         const room = this.readRoom(now);
         const paying = this.ownPaying + this.lease.othersPaying;
-        if (customerClass === "paying") {
+        if (accountClass === "paying") {
             return paying < room;
         }
         const trial = this.ownTrial + this.lease.othersTrial;
@@ -89,12 +89,12 @@
         return Math.min(this.lease.batchRoom, this.warmUpRoom);
     }
 
-    recordDispatch(customerClass: CustomerClass): void {
-        this.addOwnRequests(customerClass, 1);
+    recordDispatch(accountClass: AccountClass): void {
+        this.addOwnRequests(accountClass, 1);
     }
 
-    recordEnd(customerClass: CustomerClass): void {
-        this.addOwnRequests(customerClass, -1);
+    recordEnd(accountClass: AccountClass): void {
+        this.addOwnRequests(accountClass, -1);
     }
 
     recordSuccess(durationMs: number): void {
@@ -118,8 +118,8 @@
         return now < this.pausedUntil ? this.pausedUntil : undefined;
     }
 
-    private addOwnRequests(customerClass: CustomerClass, count: number): void {
-        if (customerClass === "paying") {
+    private addOwnRequests(accountClass: AccountClass, count: number): void {
+        if (accountClass === "paying") {
             this.ownPaying += count;
         }
         else {
--- a/packages/dispatch/src/fair.ts
+++ b/packages/dispatch/src/fair.ts
@@ -1,9 +1,9 @@
 import type { DispatchRequest } from "./types.js";
 
 /**
- * Virtual clock of start-time fair queueing. Between customers of a class, the request with the lowest start tag goes
- * first, and each request advances its customer's next tag by its cost divided by the customer's weight. A burst of one
- * customer therefore waits behind single requests of others, and an idle customer accumulates no credit.
+ * Virtual clock of start-time fair queueing. Between client accounts of a class, the request with the lowest start tag
+ * goes first, and each request advances its account's next tag by its cost divided by the account's weight. A burst of
+ * one account therefore waits behind single requests of others, and an idle account accumulates no credit.
  */
 export class VirtualClock {
     private virtualTime = 0;
@@ -11,12 +11,12 @@
 
     /** Returns the start tag of a request that arrives now. */
     createTag(request: DispatchRequest): number {
-        const start = Math.max(this.virtualTime, this.finishTags.get(request.customer) ?? 0);
-        this.finishTags.set(request.customer, start + 1 / request.weight);
+        const start = Math.max(this.virtualTime, this.finishTags.get(request.account) ?? 0);
+        this.finishTags.set(request.account, start + 1 / request.weight);
         return start;
     }
 
-    /** Advances to the tag of a dispatched request, and removes customers whose finish tag is not later. */
+    /** Advances to the tag of a dispatched request, and removes accounts whose finish tag is not later. */
     advance(tag: number): void {
         if (tag <= this.virtualTime) {
             return;
@@ -25,16 +25,16 @@
         if (this.finishTags.size <= this.pruneAt) {
             return;
         }
-        for (const [customer, finish] of this.finishTags) {
+        for (const [account, finish] of this.finishTags) {
             if (finish <= this.virtualTime) {
-                this.finishTags.delete(customer);
+                this.finishTags.delete(account);
             }
         }
-        this.pruneAt = 2 * this.finishTags.size + minPruneCustomers;
+        this.pruneAt = 2 * this.finishTags.size + minPruneAccounts;
     }
 
-    private pruneAt = minPruneCustomers;
+    private pruneAt = minPruneAccounts;
 }
 
-/** Number of customers that are stored before the first pruning. */
-const minPruneCustomers = 1000;
+/** Number of accounts that are stored before the first pruning. */
+const minPruneAccounts = 1000;
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -1,8 +1,8 @@
 /** Decision logic without I/O for a gateway: admission, queues, choice of engine, retries. */
 export { Dispatcher } from "./dispatcher.js";
 export {
+    type AccountClass,
     type AttemptOutcome,
-    type CustomerClass,
     type DispatchCommand,
     type DispatcherOptions,
     type DispatchEvent,
--- a/packages/dispatch/src/queue.ts
+++ b/packages/dispatch/src/queue.ts
@@ -1,5 +1,5 @@
 import TinyQueue from "tinyqueue";
-import type { CustomerClass, DispatchRequest, ModelDemand } from "./types.js";
+import type { AccountClass, DispatchRequest, ModelDemand } from "./types.js";
 
 /** One waiting request. */
 export interface QueueEntry {
@@ -37,17 +37,17 @@
     readonly engines = new Set<string>();
     /** Last time at which the model became leased on an engine after it was leased on none. */
     leasedAt = -Infinity;
-    private readonly classes: Record<CustomerClass, ClassQueue> = {
+    private readonly classes: Record<AccountClass, ClassQueue> = {
         paying: createClassQueue(),
         trial: createClassQueue(),
     };
 
-    private reportedCounts: Record<CustomerClass, number> = { paying: 0, trial: 0 };
+    private reportedCounts: Record<AccountClass, number> = { paying: 0, trial: 0 };
 
     constructor(readonly model: string) {}
 
     push(entry: QueueEntry): void {
-        const queue = this.classes[entry.request.customerClass];
+        const queue = this.classes[entry.request.accountClass];
         queue.heap.push(entry);
         queue.count++;
         queue.startSum += entry.request.arrivedAt;
@@ -55,23 +55,23 @@
 
     /** Removes an entry; the heap drops it when it reaches the head. */
     remove(entry: QueueEntry): void {
-        const queue = this.classes[entry.request.customerClass];
+        const queue = this.classes[entry.request.accountClass];
         entry.isWaiting = false;
         queue.count--;
         queue.startSum -= entry.request.arrivedAt;
     }
 
     /** Returns the next waiting entry of a class; undefined if no request waits. */
-    findHead(customerClass: CustomerClass): QueueEntry | undefined {
-        const { heap } = this.classes[customerClass];
+    findHead(accountClass: AccountClass): QueueEntry | undefined {
+        const { heap } = this.classes[accountClass];
         while (heap.length > 0 && !heap.peek()!.isWaiting) {
             heap.pop();
         }
         return heap.peek();
     }
 
-    countWaiting(customerClass: CustomerClass): number {
-        return this.classes[customerClass].count;
+    countWaiting(accountClass: AccountClass): number {
+        return this.classes[accountClass].count;
     }
 
     /** Whether the number of waiting requests differs from the last report to the placer. */
@@ -84,8 +84,8 @@
         return this.classes.paying.count + this.classes.trial.count === 0;
     }
 
-    recordArrival(customerClass: CustomerClass): void {
-        this.classes[customerClass].arrivals++;
+    recordArrival(accountClass: AccountClass): void {
+        this.classes[accountClass].arrivals++;
     }
 
     /** Returns the demand report for the placer and resets the arrival counts. */
--- a/packages/dispatch/src/types.ts
+++ b/packages/dispatch/src/types.ts
@@ -1,16 +1,16 @@
 import type { Reason, RefusedVerdict } from "@radishreel/verdict";
 
-/** Whether a customer pays or is on trial. */
-export type CustomerClass = "paying" | "trial";
+/** Whether a client account pays or is on trial. */
+export type AccountClass = "paying" | "trial";
 
 /** A request that waits for an engine. Times are in milliseconds, on the clock of the caller of `decide`. */
 export interface DispatchRequest {
     readonly id: string;
     /** `adapter@version`. */
     readonly model: string;
-    readonly customer: string;
-    readonly customerClass: CustomerClass;
-    /** Weight against other customers of the class in fair queueing. */
+    readonly account: string;
+    readonly accountClass: AccountClass;
+    /** Weight against other client accounts of the class in fair queueing. */
     readonly weight: number;
     readonly arrivedAt: number;
     /** The request is refused unless it is dispatched before this time. */
--- a/packages/dispatch/test/dispatcher.test.ts
+++ b/packages/dispatch/test/dispatcher.test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-    type CustomerClass,
+    type AccountClass,
     type DispatchCommand,
     Dispatcher,
     type DispatcherOptions,
@@ -14,8 +14,8 @@
     return {
         id,
         model: "a@1",
-        customer: "one",
-        customerClass: "paying",
+        account: "one",
+        accountClass: "paying",
         weight: 1,
         arrivedAt: 0,
         deadlineAt: 10_000,
@@ -66,7 +66,7 @@
     const dispatcher = createDispatcher({}, 1);
     dispatcher.decide({ type: "arrive", request: createRequest("running") }, 0);
     dispatcher.decide(
-        { type: "arrive", request: createRequest("trial", { customerClass: "trial", customer: "t" }) },
+        { type: "arrive", request: createRequest("trial", { accountClass: "trial", account: "t" }) },
         1,
     );
     dispatcher.decide({ type: "arrive", request: createRequest("paying") }, 2);
@@ -80,23 +80,23 @@
 test("a paying request is dispatched to an engine that is full of trial requests", () => {
     const dispatcher = createDispatcher({}, 2);
     for (const id of ["1", "2", "3"]) {
-        dispatcher.decide({ type: "arrive", request: createRequest(id, { customerClass: "trial", customer: "t" }) }, 0);
+        dispatcher.decide({ type: "arrive", request: createRequest(id, { accountClass: "trial", account: "t" }) }, 0);
     }
     assert.equal(listDispatched(dispatcher.decide({ type: "arrive", request: createRequest("paying") }, 1)), [
         "paying",
     ]);
 });
 
-test("a burst of one customer does not starve another customer of the same class", () => {
+test("a burst of one client account does not starve another account of the same class", () => {
     const dispatcher = createDispatcher({}, 1);
-    dispatcher.decide({ type: "arrive", request: createRequest("running", { customer: "burst" }) }, 0);
+    dispatcher.decide({ type: "arrive", request: createRequest("running", { account: "burst" }) }, 0);
     for (let index = 0; index < 20; index++) {
         dispatcher.decide({
             type: "arrive",
-            request: createRequest(`burst-${index}`, { customer: "burst", arrivedAt: 1 }),
+            request: createRequest(`burst-${index}`, { account: "burst", arrivedAt: 1 }),
         }, 1);
     }
-    dispatcher.decide({ type: "arrive", request: createRequest("rival", { customer: "rival", arrivedAt: 2 }) }, 2);
+    dispatcher.decide({ type: "arrive", request: createRequest("rival", { account: "rival", arrivedAt: 2 }) }, 2);
     const order: string[] = [];
     let running = "running";
     for (let index = 0; index < 3; index++) {
@@ -266,7 +266,7 @@
     readonly kind: "arrive" | "end" | "fail" | "cancel" | "lease" | "gone" | "tick";
     readonly pick: number;
     readonly model: string;
-    readonly customerClass: CustomerClass;
+    readonly accountClass: AccountClass;
     readonly engine: string;
     readonly models: string[];
 }
@@ -288,7 +288,7 @@
     ),
     pick: fc.nat(50),
     model: fc.constantFrom(...modelNames),
-    customerClass: fc.constantFrom<CustomerClass>("paying", "trial"),
+    accountClass: fc.constantFrom<AccountClass>("paying", "trial"),
     engine: fc.constantFrom("x", "y"),
     models: fc.subarray(modelNames),
 });
@@ -318,13 +318,13 @@
     /** Checks that no trial request was dispatched while a paying request could have used its room. */
     check(commands: readonly DispatchCommand[]): void {
         const trials = commands.filter(command =>
-            command.type === "dispatch" && command.request.customerClass === "trial"
+            command.type === "dispatch" && command.request.accountClass === "trial"
         );
         for (const trial of trials) {
             const engineId = trial.type === "dispatch" ? trial.engineId : "";
             const leasedModels = this.leases.get(engineId) ?? new Set();
             const overtaken = [...this.waiting.values()].find(request =>
-                request.customerClass === "paying" && leasedModels.has(request.model)
+                request.accountClass === "paying" && leasedModels.has(request.model)
             );
             assert.is(overtaken, undefined, "a trial request was dispatched before a paying one");
         }
@@ -347,15 +347,15 @@
                     expected.check(commands);
                 }
             };
-            for (const { kind, pick, model, customerClass, engine, models } of steps) {
+            for (const { kind, pick, model, accountClass, engine, models } of steps) {
                 now += 50;
                 const running = [...expected.running.values()][pick % Math.max(1, expected.running.size)];
                 switch (kind) {
                     case "arrive": {
                         const request = createRequest(String(++count), {
                             model,
-                            customerClass,
-                            customer: `customer-${pick % 3}`,
+                            accountClass,
+                            account: `account-${pick % 3}`,
                             arrivedAt: now,
                             deadlineAt: now + 1000,
                         });
--- a/packages/experiment/src/control.ts
+++ b/packages/experiment/src/control.ts
@@ -26,7 +26,7 @@
     readonly applyMs: number;
 }
 
-/** Creates offerings with the given number of adapters and one customer that may use all of them. */
+/** Creates offerings with the given number of adapters and one client account that may use all of them. */
 export function createBenchOfferings(adapters: number): object {
     return {
         customers: { bench: { class: "paying", keyDigests: [createKeyDigest("paying-key")], adapters: ["*"] } },
--- a/packages/experiment/src/decisions.ts
+++ b/packages/experiment/src/decisions.ts
@@ -61,8 +61,8 @@
     const request = {
         id,
         model,
-        customer: `customer-${index % 40}`,
-        customerClass: "paying" as const,
+        account: `customer-${index % 40}`,
+        accountClass: "paying" as const,
         weight: 1,
         arrivedAt: index,
         deadlineAt: index + 1000,
--- a/packages/experiment/src/naive.ts
+++ b/packages/experiment/src/naive.ts
@@ -118,7 +118,7 @@
 }
 
 function rankClass(request: TraceRequest): number {
-    return request.customerClass === "paying" ? 0 : 1;
+    return request.accountClass === "paying" ? 0 : 1;
 }
 
 /** Creates a policy with round robin over the engines and one queue in the order of arrival. */
--- a/packages/experiment/src/report.ts
+++ b/packages/experiment/src/report.ts
@@ -1,7 +1,7 @@
-import type { CustomerClass } from "@radishreel/dispatch";
+import type { AccountClass } from "@radishreel/dispatch";
 import type { RequestResult, RunResult } from "./world.js";
 
-/** Measurements of one customer class in one run. Times are in milliseconds. */
+/** Measurements of one account class in one run. Times are in milliseconds. */
 export interface ClassReport {
     readonly requests: number;
     readonly refused: number;
@@ -27,8 +27,8 @@
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
 
-function createClassReport(results: readonly RequestResult[], customerClass: CustomerClass): ClassReport {
-    const classResults = results.filter(result => result.request.customerClass === customerClass);
+function createClassReport(results: readonly RequestResult[], accountClass: AccountClass): ClassReport {
+    const classResults = results.filter(result => result.request.accountClass === accountClass);
     const served = classResults.filter(result => result.refusedFor === undefined);
     const stalls = served.map(result => result.stallMs).sort((left, right) => left - right);
     const firstTokens = served.map(result => result.firstTokenMs).sort((left, right) => left - right);
--- a/packages/experiment/src/scenarios.ts
+++ b/packages/experiment/src/scenarios.ts
@@ -36,7 +36,7 @@
     zipf: 1,
     payingRate: 4,
     trialRate: 0.4,
-    customers: 40,
+    accounts: 40,
     deadlineMs: 30_000,
     meanTokens: 100,
 };
--- a/packages/experiment/src/trace.ts
+++ b/packages/experiment/src/trace.ts
@@ -1,12 +1,12 @@
-import type { CustomerClass } from "@radishreel/dispatch";
+import type { AccountClass } from "@radishreel/dispatch";
 import { RandomSource, ZipfSource } from "./random.js";
 
 /** One request of a trace. Times are in milliseconds of virtual time. */
 export interface TraceRequest {
     readonly id: string;
     readonly model: string;
-    readonly customer: string;
-    readonly customerClass: CustomerClass;
+    readonly account: string;
+    readonly accountClass: AccountClass;
     readonly arrivedAt: number;
     readonly deadlineAt: number;
     readonly tokens: number;
@@ -28,7 +28,7 @@
     /** Paying requests per second at level 1. */
     readonly payingRate: number;
     readonly trialRate: number;
-    readonly customers: number;
+    readonly accounts: number;
     readonly deadlineMs: number;
     readonly meanTokens: number;
     /** Times at which the popularity of the adapters is reassigned. */
@@ -52,26 +52,26 @@
 
 function createClass(
     options: TraceOptions,
-    customerClass: CustomerClass,
+    accountClass: AccountClass,
     rate: number,
     random: RandomSource,
 ): TraceRequest[] {
-    const { durationMs, adapters, zipf, customers, deadlineMs, meanTokens, shiftsAt = [] } = options;
+    const { durationMs, adapters, zipf, accounts, deadlineMs, meanTokens, shiftsAt = [] } = options;
     const source = new ZipfSource(adapters, zipf);
     const requests: TraceRequest[] = [];
     let at = 0;
     while (rate > 0 && at < durationMs) {
         const level = (options.readLevel?.(at) ?? 1)
-            * (customerClass === "trial" ? options.readTrialLevel?.(at) ?? 1 : 1);
+            * (accountClass === "trial" ? options.readTrialLevel?.(at) ?? 1 : 1);
         at += random.readExponential(1000 / (rate * level));
         const rank = source.readRank(random);
         const epoch = shiftsAt.filter(shift => shift <= at).length;
         requests.push({
-            id: `${customerClass}-${requests.length}`,
+            id: `${accountClass}-${requests.length}`,
             // Each epoch maps the ranks to the adapters differently.
             model: `adapter-${(rank * (2 * epoch + 1) * 7919 + epoch * 1301) % adapters}@1`,
-            customer: `${customerClass}-customer-${random.readIndex(customers)}`,
-            customerClass,
+            account: `${accountClass}-customer-${random.readIndex(accounts)}`,
+            accountClass,
             arrivedAt: at,
             deadlineAt: at + deadlineMs,
             tokens: Math.max(1, Math.round(meanTokens * (0.5 + random.readUnit()))),
--- a/packages/experiment/src/world.ts
+++ b/packages/experiment/src/world.ts
@@ -251,8 +251,8 @@
         }
         engine.isStepping = true;
         const all = [...engine.running.values()];
-        const paying = all.filter(entry => entry.request.customerClass === "paying");
-        const trial = all.filter(entry => entry.request.customerClass === "trial");
+        const paying = all.filter(entry => entry.request.accountClass === "paying");
+        const trial = all.filter(entry => entry.request.accountClass === "trial");
         const batch = [...paying, ...trial].slice(0, this.options.batchRoom);
         if (this.now >= this.options.warmUpMs) {
             this.fullnessSum += batch.length / this.options.batchRoom;
--- a/packages/gateway/src/calls.ts
+++ b/packages/gateway/src/calls.ts
@@ -37,8 +37,8 @@
     if (service === undefined) {
         return err(createRefused("unknownService", `service "${name}" is not offered`));
     }
-    if (!request.offerings.isServiceAllowed(request.customer, name)) {
-        return err(createRefused("notAllowed", `customer "${request.customer.name}" may not call service "${name}"`));
+    if (!request.offerings.isServiceAllowed(request.account, name)) {
+        return err(createRefused("notAllowed", `customer "${request.account.name}" may not call service "${name}"`));
     }
     const path = rest.slice(end).startsWith("/") ? rest.slice(end) : `/${rest.slice(end)}`;
     return ok({
@@ -99,7 +99,7 @@
 }
 
 function createHeaders(request: CallerRequest, callId: string): Record<string, string> {
-    const headers: Record<string, string> = { "x-call-id": callId, "x-customer": request.customer.name };
+    const headers: Record<string, string> = { "x-call-id": callId, "x-customer": request.account.name };
     for (const name of ["content-type", "accept"]) {
         const value = request.headers[name];
         if (typeof value === "string") {
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -52,9 +52,9 @@
     if (name === undefined || request.offerings.findBaseModel(name) === undefined) {
         return err(createRefused("unknownAdapter", `"${model}" is not offered; expected adapter@version`));
     }
-    if (!request.offerings.isAdapterAllowed(request.customer, name.adapter)) {
+    if (!request.offerings.isAdapterAllowed(request.account, name.adapter)) {
         return err(
-            createRefused("notAllowed", `customer "${request.customer.name}" may not use adapter "${name.adapter}"`),
+            createRefused("notAllowed", `customer "${request.account.name}" may not use adapter "${name.adapter}"`),
         );
     }
     const prompted = JSON.stringify(messages ?? prompt ?? "").slice(0, prefixLength);
@@ -107,9 +107,9 @@
     protected open(placement: Placement, callId: string): Completion {
         const { completionContext: context, request, completion, response } = this;
         const { engineId } = placement;
-        const customerClass = request.customer.class;
+        const accountClass = request.account.class;
         this.recordPlacement(placement);
-        context.control.uses.add(engineId, completion.model, customerClass);
+        context.control.uses.add(engineId, completion.model, accountClass);
         return context.engines.open({
             address: context.findAddress(engineId) ?? "",
             path: completion.path,
@@ -117,7 +117,7 @@
             isStream: completion.isStream,
             body: request.body,
             callId,
-            priority: priorityByClass[customerClass],
+            priority: priorityByClass[accountClass],
             silenceMs: context.silenceMs,
             checkBeforeSend: () => context.control.leases.isLeased(engineId, completion.model, readInstant()),
             receiver: {
@@ -131,7 +131,7 @@
         const { control } = this.completionContext;
         const { model } = this.completion;
         const isSure = end.isSure ?? true;
-        const isLast = control.uses.remove(engineId, model, this.request.customer.class, isSure, control.nextSequence);
+        const isLast = control.uses.remove(engineId, model, this.request.account.class, isSure, control.nextSequence);
         if (isLast && !control.leases.isLeased(engineId, model, readInstant())) {
             control.renewAfterRelease();
         }
@@ -139,7 +139,7 @@
 
     private recordPlacement(placement: Placement): void {
         const { metrics } = this.completionContext;
-        const labels = { class: this.request.customer.class };
+        const labels = { class: this.request.account.class };
         metrics.loadStalls.observe(labels, placement.stallMs / 1000);
         metrics.batchFullness.observe(labels, placement.fullness);
     }
--- a/packages/gateway/src/control.ts
+++ b/packages/gateway/src/control.ts
@@ -57,7 +57,7 @@
     reportedInFlight: ReadonlyMap<string, InFlight>;
 }
 
-/** Number of requests per customer class. */
+/** Number of requests per account class. */
 interface InFlight {
     readonly paying: number;
     readonly trial: number;
--- a/packages/gateway/src/dispatching.ts
+++ b/packages/gateway/src/dispatching.ts
@@ -1,6 +1,6 @@
 import {
+    type AccountClass,
     type AttemptOutcome,
-    type CustomerClass,
     type DispatchCommand,
     Dispatcher,
     type DispatcherOptions,
@@ -129,5 +129,5 @@
     }
 }
 
-/** Priority of each customer class that is sent to engines; higher runs first. */
-export const priorityByClass: Record<CustomerClass, number> = { paying: 10, trial: 0 };
+/** Priority of each account class that is sent to engines; higher runs first. */
+export const priorityByClass: Record<AccountClass, number> = { paying: 10, trial: 0 };
--- a/packages/gateway/src/request.ts
+++ b/packages/gateway/src/request.ts
@@ -1,4 +1,4 @@
-import type { NamedCustomer, OfferingsState } from "@radishreel/offerings";
+import type { NamedAccount, OfferingsState } from "@radishreel/offerings";
 import { createRefused, type RefusedVerdict } from "@radishreel/verdict";
 import { err, ok, type Result } from "neverthrow";
 import { createHash } from "node:crypto";
@@ -12,7 +12,7 @@
 /** Maximum deadline, in milliseconds: one day. */
 const maxDeadlineMs = 86_400_000;
 
-/** A request of a caller, with its body read and its customer identified. */
+/** A request of a caller, with its body read and its client account identified. */
 export interface CallerRequest {
     readonly id: string;
     readonly method: string;
@@ -20,7 +20,7 @@
     readonly path: string;
     readonly headers: IncomingMessage["headers"];
     readonly body: Buffer;
-    readonly customer: NamedCustomer;
+    readonly account: NamedAccount;
     readonly offerings: OfferingsState;
     /** Time of arrival on the monotonic clock, in milliseconds. */
     readonly arrivedAt: number;
@@ -30,17 +30,17 @@
     readonly isForwarded: boolean;
 }
 
-/** Finds the customer by the API key, given as a bearer token. */
-export function readCustomer(
+/** Finds the client account by the API key, given as a bearer token. */
+export function readAccount(
     headers: IncomingMessage["headers"],
     offerings: OfferingsState,
-): Result<NamedCustomer, RefusedVerdict> {
+): Result<NamedAccount, RefusedVerdict> {
     const [scheme, key] = (headers.authorization ?? "").split(" ");
     if (scheme?.toLowerCase() !== "bearer" || key === undefined || key === "") {
         return err(createRefused("unknownKey", "expected an API key in the header Authorization: Bearer"));
     }
-    const customer = offerings.findCustomer(createHash("sha256").update(key).digest("hex"));
-    return customer === undefined ? err(createRefused("unknownKey", "no customer has this API key")) : ok(customer);
+    const account = offerings.findAccount(createHash("sha256").update(key).digest("hex"));
+    return account === undefined ? err(createRefused("unknownKey", "no customer has this API key")) : ok(account);
 }
 
 /** Reads the deadline: the time within which the request must be sent to an upstream, in milliseconds from now. */
--- a/packages/gateway/src/routes.ts
+++ b/packages/gateway/src/routes.ts
@@ -14,7 +14,7 @@
 import { type CompletionContext, type CompletionPath, parseCompletion, runCompletion } from "./completions.js";
 import type { Route } from "./listener.js";
 import { checkPeerProof, peerProofHeader } from "./peers.js";
-import { type CallerRequest, readBody, readCustomer, readDeadlineMs, requestTokenHeader } from "./request.js";
+import { type CallerRequest, readAccount, readBody, readDeadlineMs, requestTokenHeader } from "./request.js";
 import { CallerResponse, jsonMediaType } from "./response.js";
 import { maxStoredResponseBytes, maxTokensPerRequest, type TokenRegistry } from "./tokens.js";
 
@@ -90,7 +90,7 @@
         }
         const verdict = await handler(request.value, callerResponse);
         metrics.openRequests.dec();
-        metrics.requests.inc({ class: request.value.customer.class, verdict: verdict.kind });
+        metrics.requests.inc({ class: request.value.account.class, verdict: verdict.kind });
         if (verdict.kind !== "complete") {
             metrics.recordRefusal(verdict.reason);
         }
@@ -117,9 +117,9 @@
             return err(createRefused("noOfferings", "this gateway knows no offerings yet", noOfferingsRetrySeconds));
         }
         const offerings = fold.offerings;
-        const customer = readCustomer(incoming.headers, offerings);
-        if (customer.isErr()) {
-            return err(customer.error);
+        const account = readAccount(incoming.headers, offerings);
+        if (account.isErr()) {
+            return err(account.error);
         }
         const deadlineMs = readDeadlineMs(incoming.headers, defaultDeadlineMs);
         if (deadlineMs.isErr()) {
@@ -141,7 +141,7 @@
             path,
             headers: incoming.headers,
             body: body.value,
-            customer: customer.value,
+            account: account.value,
             offerings,
             arrivedAt,
             deadlineAt: arrivedAt + deadlineMs.value,
@@ -194,7 +194,7 @@
     }
 
     private async handleModels(request: CallerRequest, response: CallerResponse): Promise<Verdict> {
-        const data = request.offerings.listModels(request.customer).map(id => ({
+        const data = request.offerings.listModels(request.account).map(id => ({
             id,
             object: "model",
             owned_by: "radishreel",
@@ -208,7 +208,7 @@
         if (count.isErr()) {
             return response.sendFailure(count.error);
         }
-        const { tokens, expiresAt } = this.context.tokens().createTokens(request.customer.name, count.value);
+        const { tokens, expiresAt } = this.context.tokens().createTokens(request.account.name, count.value);
         response.send(
             200,
             jsonMediaType,
--- a/packages/gateway/src/run.ts
+++ b/packages/gateway/src/run.ts
@@ -69,14 +69,14 @@
 
     /** Queues the request for an upstream that serves `model`: a model or, for calls, a service. */
     protected arrive(model: string, prefix?: string): void {
-        const { id, customer, arrivedAt, deadlineAt } = this.request;
+        const { id, account, arrivedAt, deadlineAt } = this.request;
         this.context.dispatch.arrive(
             {
                 id,
                 model,
-                customer: customer.name,
-                customerClass: customer.class,
-                weight: customer.weight,
+                account: account.name,
+                accountClass: account.class,
+                weight: account.weight,
                 arrivedAt,
                 deadlineAt,
                 prefix,
@@ -103,7 +103,7 @@
 
     private start(placement: Placement): void {
         const waitedSeconds = (performance.now() - this.request.arrivedAt) / 1000;
-        this.context.metrics.queueTime.observe({ class: this.request.customer.class }, waitedSeconds);
+        this.context.metrics.queueTime.observe({ class: this.request.account.class }, waitedSeconds);
         const attempt = this.open(placement, `${this.request.id}.${++this.attempts}`);
         this.attempt = attempt;
         void attempt.end.then(end => this.receiveEnd(placement.engineId, end));
--- a/packages/gateway/src/tokens.ts
+++ b/packages/gateway/src/tokens.ts
@@ -45,8 +45,8 @@
         this.ledgers.set(issuer, new TokenLedger({ issuer }));
     }
 
-    createTokens(customer: string, count: number): { tokens: string[]; expiresAt: number; } {
-        return this.issuer.createTokens(customer, count, Date.now());
+    createTokens(account: string, count: number): { tokens: string[]; expiresAt: number; } {
+        return this.issuer.createTokens(account, count, Date.now());
     }
 
     /** Runs a request at most once. The response is finished when the returned promise settles. */
@@ -57,7 +57,7 @@
             return response.sendFailure(parsed.error);
         }
         const token = parsed.value;
-        if (token.customer !== request.customer.name) {
+        if (token.account !== request.account.name) {
             return response.sendFailure(
                 createRefused("requestTokenOfAnother", "the request token was issued to another customer"),
             );
--- a/packages/gateway/src/uses.ts
+++ b/packages/gateway/src/uses.ts
@@ -1,4 +1,4 @@
-import type { CustomerClass } from "@radishreel/dispatch";
+import type { AccountClass } from "@radishreel/dispatch";
 import type { ModelUse } from "@radishreel/protocol";
 
 interface MutableUse {
@@ -15,10 +15,10 @@
     private readonly unconfirmed = new Map<string, { use: ModelUse; since: number; }>();
 
     /** Counts a request that is being dispatched. */
-    add(engineId: string, model: string, customerClass: CustomerClass): void {
+    add(engineId: string, model: string, accountClass: AccountClass): void {
         const key = formatKey(engineId, model);
         const use = this.uses.get(key) ?? { engineId, model, paying: 0, trial: 0 };
-        use[customerClass]++;
+        use[accountClass]++;
         this.uses.set(key, use);
     }
 
@@ -30,7 +30,7 @@
     remove(
         engineId: string,
         model: string,
-        customerClass: CustomerClass,
+        accountClass: AccountClass,
         isConfirmed: boolean,
         sequence: number,
     ): boolean {
@@ -39,7 +39,7 @@
         if (use === undefined) {
             return false;
         }
-        use[customerClass]--;
+        use[accountClass]--;
         if (!isConfirmed) {
             this.unconfirmed.set(key, { use: { engineId, model, paying: 0, trial: 0 }, since: sequence });
         }
--- a/packages/load/src/arrivals.ts
+++ b/packages/load/src/arrivals.ts
@@ -5,7 +5,7 @@
 export interface Arrival {
     /** Time since the start of the run, in milliseconds. */
     readonly at: number;
-    readonly customerClass: "paying" | "trial";
+    readonly accountClass: "paying" | "trial";
     readonly kind: "completion" | "once";
     readonly model: string;
     readonly isStream: boolean;
@@ -28,8 +28,8 @@
         return Math.max(0, weights.findIndex(weight => (remaining -= weight) < 0));
     };
     const arrivals: Arrival[] = [];
-    for (const customerClass of ["paying", "trial"] as const) {
-        const rate = customerClass === "paying" ? options.payingRate : options.trialRate;
+    for (const accountClass of ["paying", "trial"] as const) {
+        const rate = accountClass === "paying" ? options.payingRate : options.trialRate;
         for (let at = 0; rate > 0;) {
             at += -1000 * options.burst / rate * Math.log(1 - readRandomFraction());
             if (at >= options.durationSeconds * 1000) {
@@ -43,7 +43,7 @@
                     : "completion";
                 arrivals.push({
                     at,
-                    customerClass,
+                    accountClass,
                     kind,
                     model: options.models[rank]!,
                     isStream: readRandomFraction() < options.streamShare,
--- a/packages/load/src/compare.ts
+++ b/packages/load/src/compare.ts
@@ -11,13 +11,13 @@
 
 function listMeasures(result: LoadResult): Record<string, number> {
     const measures: Record<string, number> = {};
-    for (const customerClass of ["paying", "trial"] as const) {
-        const { sent, complete, firstByte, whole } = result[customerClass];
-        measures[`${customerClass} sent`] = sent;
-        measures[`${customerClass} complete`] = complete;
+    for (const accountClass of ["paying", "trial"] as const) {
+        const { sent, complete, firstByte, whole } = result[accountClass];
+        measures[`${accountClass} sent`] = sent;
+        measures[`${accountClass} complete`] = complete;
         for (const percentile of ["p50", "p95", "p99"] as const) {
-            measures[`${customerClass} first byte ${percentile} ms`] = firstByte[percentile];
-            measures[`${customerClass} whole ${percentile} ms`] = whole[percentile];
+            measures[`${accountClass} first byte ${percentile} ms`] = firstByte[percentile];
+            measures[`${accountClass} whole ${percentile} ms`] = whole[percentile];
         }
     }
     return measures;
--- a/packages/load/src/run.ts
+++ b/packages/load/src/run.ts
@@ -60,7 +60,7 @@
     }
 
     private async send(arrival: Arrival): Promise<void> {
-        const recorder = this.recorders[arrival.customerClass];
+        const recorder = this.recorders[arrival.accountClass];
         recorder.recordSent();
         const target = this.options.targets[this.sentCount++ % this.options.targets.length]!;
         try {
@@ -73,7 +73,7 @@
     }
 
     private createHeaders(arrival: Arrival): Record<string, string> {
-        const key = arrival.customerClass === "paying" ? this.options.payingKey : this.options.trialKey;
+        const key = arrival.accountClass === "paying" ? this.options.payingKey : this.options.trialKey;
         return {
             authorization: `Bearer ${key}`,
             "content-type": "application/json",
@@ -114,7 +114,7 @@
     ): Promise<void> {
         // Latency counts from the scheduled time, so that a slow response does not hide the delay of later requests.
         const dueAt = this.startedAt + arrival.at;
-        const recorder = this.recorders[arrival.customerClass];
+        const recorder = this.recorders[arrival.accountClass];
         const response = await request(`http://${target}${path}`, {
             dispatcher: this.agent,
             method: "POST",
--- a/packages/offerings/src/change.ts
+++ b/packages/offerings/src/change.ts
@@ -54,8 +54,8 @@
 export function checkOfferings(offerings: Offerings): OfferingsIssue[] {
     const issues: OfferingsIssue[] = [];
     const ownerByDigest = new Map<string, string>();
-    for (const [name, customer] of Object.entries(offerings.customers)) {
-        customer.adapters.forEach((pattern, index) => {
+    for (const [name, account] of Object.entries(offerings.customers)) {
+        account.adapters.forEach((pattern, index) => {
             if (!pattern.endsWith("*") && offerings.adapters[pattern] === undefined) {
                 issues.push({
                     path: ["customers", name, "adapters", String(index)],
@@ -63,7 +63,7 @@
                 });
             }
         });
-        customer.services.forEach((service, index) => {
+        account.services.forEach((service, index) => {
             if (offerings.services[service] === undefined) {
                 issues.push({
                     path: ["customers", name, "services", String(index)],
@@ -71,7 +71,7 @@
                 });
             }
         });
-        customer.keyDigests.forEach((digest, index) => {
+        account.keyDigests.forEach((digest, index) => {
             const owner = ownerByDigest.get(digest);
             if (owner !== undefined) {
                 const path = ["customers", name, "keyDigests", String(index)];
--- a/packages/offerings/src/index.ts
+++ b/packages/offerings/src/index.ts
@@ -19,12 +19,12 @@
     type SnapshotRecord,
 } from "./records.js";
 export {
+    type Account,
+    type AccountClass,
+    accountClassSchema,
     type Adapter,
     type Change,
     changeSchema,
-    type Customer,
-    type CustomerClass,
-    customerClassSchema,
     type Entry,
     entrySchema,
     type Offerings,
@@ -33,4 +33,4 @@
     policySchema,
     type Service,
 } from "./schema.js";
-export { type ModelName, type NamedCustomer, OfferingsState, parseModelName } from "./state.js";
+export { type ModelName, type NamedAccount, OfferingsState, parseModelName } from "./state.js";
--- a/packages/offerings/src/schema.ts
+++ b/packages/offerings/src/schema.ts
@@ -6,14 +6,14 @@
 );
 
 /** Class of a client account. Paying requests never wait behind trial requests. */
-export const customerClassSchema = z.enum(["paying", "trial"]);
+export const accountClassSchema = z.enum(["paying", "trial"]);
 
-/** See {@link customerClassSchema}. */
-export type CustomerClass = z.infer<typeof customerClassSchema>;
+/** See {@link accountClassSchema}. */
+export type AccountClass = z.infer<typeof accountClassSchema>;
 
 /** A client account. */
-export const customerSchema = z.strictObject({
-    class: customerClassSchema,
+export const accountSchema = z.strictObject({
+    class: accountClassSchema,
     /** SHA-256 digests of the API keys, in lower-case hexadecimal. */
     keyDigests: z.array(
         z.string().regex(/^[0-9a-f]{64}$/, "expected a SHA-256 digest: 64 lower-case hexadecimal digits"),
@@ -62,14 +62,14 @@
 
 /** Offerings as operators write them, in one file or several. */
 export const offeringsSchema = z.strictObject({
-    customers: z.record(nameSchema, customerSchema).default({}),
+    customers: z.record(nameSchema, accountSchema).default({}),
     adapters: z.record(nameSchema, adapterSchema).default({}),
     services: z.record(nameSchema, serviceSchema).default({}),
     policy: policySchema.default(policySchema.parse({})),
 });
 
-/** See {@link customerSchema}. */
-export type Customer = z.infer<typeof customerSchema>;
+/** See {@link accountSchema}. */
+export type Account = z.infer<typeof accountSchema>;
 /** See {@link adapterSchema}. */
 export type Adapter = z.infer<typeof adapterSchema>;
 /** See {@link serviceSchema}. */
@@ -81,7 +81,7 @@
 
 /** An entry that a change sets. */
 export const entrySchema = z.discriminatedUnion("section", [
-    z.strictObject({ section: z.literal("customers"), name: nameSchema, value: customerSchema }),
+    z.strictObject({ section: z.literal("customers"), name: nameSchema, value: accountSchema }),
     z.strictObject({ section: z.literal("adapters"), name: nameSchema, value: adapterSchema }),
     z.strictObject({ section: z.literal("services"), name: nameSchema, value: serviceSchema }),
     z.strictObject({ section: z.literal("policy"), name: z.literal("policy"), value: policySchema }),
--- a/packages/offerings/src/state.ts
+++ b/packages/offerings/src/state.ts
@@ -1,9 +1,9 @@
 import { timingSafeEqual } from "node:crypto";
 import { EntryDigest } from "./digest.js";
 import {
+    type Account,
     type Adapter,
     type Change,
-    type Customer,
     type Entry,
     type EntryKey,
     type Offerings,
@@ -15,7 +15,7 @@
 const defaultPolicy = policySchema.parse({});
 
 /** A client account with its name. */
-export interface NamedCustomer extends Customer {
+export interface NamedAccount extends Account {
     readonly name: string;
 }
 
@@ -40,10 +40,10 @@
 
 /** Offerings in memory. A change costs time in proportion to its own size, not to that of the offerings. */
 export class OfferingsState {
-    private readonly customers = new Map<string, Customer>();
+    private readonly customers = new Map<string, Account>();
     private readonly adapters = new Map<string, Adapter>();
     private readonly services = new Map<string, Service>();
-    private readonly customerByKeyPrefix = new Map<string, string>();
+    private readonly accountByKeyPrefix = new Map<string, string>();
     private entryDigest = new EntryDigest();
     private currentPolicy: Policy | undefined;
 
@@ -83,18 +83,16 @@
     }
 
     /** The client account whose API key has this SHA-256 digest (hexadecimal). */
-    findCustomer(keyDigest: string): NamedCustomer | undefined {
-        const name = this.customerByKeyPrefix.get(keyDigest.slice(0, keyPrefixLength));
-        const customer = name === undefined ? undefined : this.customers.get(name);
-        if (name === undefined || customer === undefined) {
+    findAccount(keyDigest: string): NamedAccount | undefined {
+        const name = this.accountByKeyPrefix.get(keyDigest.slice(0, keyPrefixLength));
+        const account = name === undefined ? undefined : this.customers.get(name);
+        if (name === undefined || account === undefined) {
             return undefined;
         }
         // The index is keyed by a prefix of the digest; the complete digests are compared in constant time.
         const presentedDigest = Buffer.from(keyDigest, "hex");
-        const matches = customer.keyDigests.some(digest =>
-            timingSafeEqual(Buffer.from(digest, "hex"), presentedDigest)
-        );
-        return matches ? { ...customer, name } : undefined;
+        const matches = account.keyDigests.some(digest => timingSafeEqual(Buffer.from(digest, "hex"), presentedDigest));
+        return matches ? { ...account, name } : undefined;
     }
 
     findAdapter(name: string): Adapter | undefined {
@@ -112,20 +110,20 @@
     }
 
     /** Whether the client account may use the adapter. */
-    isAdapterAllowed(customer: Customer, adapter: string): boolean {
-        return isAllowed(customer.adapters, adapter);
+    isAdapterAllowed(account: Account, adapter: string): boolean {
+        return isAllowed(account.adapters, adapter);
     }
 
     /** Whether the client account may call the service. */
-    isServiceAllowed(customer: Customer, service: string): boolean {
-        return customer.services.includes(service);
+    isServiceAllowed(account: Account, service: string): boolean {
+        return account.services.includes(service);
     }
 
     /** Every model that the client account may use, as `adapter@version`. */
-    listModels(customer: Customer): string[] {
+    listModels(account: Account): string[] {
         const models: string[] = [];
         for (const [name, adapter] of this.adapters) {
-            if (isAllowed(customer.adapters, name)) {
+            if (isAllowed(account.adapters, name)) {
                 models.push(...adapter.versions.map(version => `${name}@${version}`));
             }
         }
@@ -195,7 +193,7 @@
                 this.removeApiKeys(entry.name);
                 this.customers.set(entry.name, entry.value);
                 for (const digest of entry.value.keyDigests) {
-                    this.customerByKeyPrefix.set(digest.slice(0, keyPrefixLength), entry.name);
+                    this.accountByKeyPrefix.set(digest.slice(0, keyPrefixLength), entry.name);
                 }
                 return;
             case "adapters":
@@ -209,9 +207,9 @@
         }
     }
 
-    private removeApiKeys(customer: string): void {
-        for (const digest of this.customers.get(customer)?.keyDigests ?? []) {
-            this.customerByKeyPrefix.delete(digest.slice(0, keyPrefixLength));
+    private removeApiKeys(account: string): void {
+        for (const digest of this.customers.get(account)?.keyDigests ?? []) {
+            this.accountByKeyPrefix.delete(digest.slice(0, keyPrefixLength));
         }
     }
 }
--- a/packages/placement/src/demand.ts
+++ b/packages/placement/src/demand.ts
@@ -15,7 +15,7 @@
 export interface ModelState extends Readonly<WaitingSum> {
     /** Engines that hold the model, in any state. */
     readonly engines: ReadonlySet<string>;
-    /** Whether a paying customer has requested the model since its state was last removed. */
+    /** Whether a paying account has requested the model since its state was last removed. */
     readonly isPaying: boolean;
 }
 
@@ -34,8 +34,8 @@
  * Size limits of the heap of popular models: its stale entries are removed when it holds more than the minimum plus
  * this many entries per counted model.
  */
-const maxHotEntriesPerModel = 4;
-const minHotEntries = 1000;
+const maxPopularEntriesPerModel = 4;
+const minPopularEntries = 1000;
 
 /** Interval at which the popularity of rarely requested models is removed, in milliseconds. */
 const expiryIntervalMs = 60_000;
@@ -148,7 +148,7 @@
             return;
         }
         this.popularModels.push({ model, score });
-        if (this.popularModels.length > minHotEntries + maxHotEntriesPerModel * this.popularity.size) {
+        if (this.popularModels.length > minPopularEntries + maxPopularEntriesPerModel * this.popularity.size) {
             this.popularModels = this.createPopularModels(
                 this.popularModels.data.filter(entry => !this.isStale(entry)),
             );
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -5,7 +5,7 @@
 export interface PlacerOptions {
     /** Weight of load stalls against batch fullness: 1 considers only stalls, 0 only fullness. @default 0.7 */
     readonly stallWeight?: number;
-    /** Share of the adapter slots that adapters requested only by trial customers may hold. @default 0.25 */
+    /** Share of the adapter slots that adapters requested only by trial accounts may hold. @default 0.25 */
     readonly trialSlotShare?: number;
     /** Half-life of an arrival's weight, in milliseconds. @default 150000 */
     readonly halfLifeMs?: number;
@@ -92,7 +92,7 @@
 
 /**
  * Decides which adapters one data centre loads and evicts. One load runs at a time, since the weight store is fastest
- * that way. The next load is the one whose requests have the longest total wait; paying customers have strict priority
+ * that way. The next load is the one whose requests have the longest total wait; paying accounts have strict priority
  * over trial ones. See docs/design/placement.md.
  */
 export class Placer {
@@ -352,8 +352,8 @@
         if (this.pendingLoad !== undefined) {
             return undefined;
         }
-        const hottest = this.demand.findMostPopular(now);
-        return hottest !== undefined && this.hasEngineFor(hottest, now) ? hottest : undefined;
+        const mostPopular = this.demand.findMostPopular(now);
+        return mostPopular !== undefined && this.hasEngineFor(mostPopular, now) ? mostPopular : undefined;
     }
 
     private readFreeSlots(engine: EngineSummary): number {
@@ -449,7 +449,7 @@
     }
 
     /**
-     * Whether the load justifies the eviction. A load for trial requests evicts a model that paying customers have
+     * Whether the load justifies the eviction. A load for trial requests evicts a model that paying accounts have
      * requested only while trial adapters hold less than their share of the slots.
      */
     private isWorthEvicting(loadRequest: LoadRequest, candidate: string): boolean {
--- a/packages/tokens/src/issuer.ts
+++ b/packages/tokens/src/issuer.ts
@@ -12,7 +12,7 @@
     readonly lifeMs?: number;
 }
 
-const defaultLifeMs = 3_600_000;
+const defaultLifetimeMs = 3_600_000;
 
 /** Issues the request tokens of one gateway. */
 export class TokenIssuer {
@@ -20,16 +20,16 @@
     private sequence = 0;
 
     constructor(private readonly options: TokenIssuerOptions) {
-        this.lifeMs = options.lifeMs ?? defaultLifeMs;
+        this.lifeMs = options.lifeMs ?? defaultLifetimeMs;
     }
 
     /** New tokens for a client account, and their expiry time in milliseconds since 1970. */
-    createTokens(customer: string, count: number, now: number): { tokens: string[]; expiresAt: number; } {
+    createTokens(account: string, count: number, now: number): { tokens: string[]; expiresAt: number; } {
         const { secret, issuer, address } = this.options;
         const expiresAt = now + this.lifeMs;
         const tokens = Array.from(
             { length: count },
-            () => formatToken(secret, { issuer, address, sequence: ++this.sequence, customer, expiresAt }),
+            () => formatToken(secret, { issuer, address, sequence: ++this.sequence, account, expiresAt }),
         );
         return { tokens, expiresAt };
     }
--- a/packages/tokens/src/token.ts
+++ b/packages/tokens/src/token.ts
@@ -13,7 +13,7 @@
     readonly address: string;
     /** Unique among the tokens of an issuer. */
     readonly sequence: number;
-    readonly customer: string;
+    readonly account: string;
     /** Expiry time by the issuer's clock, in milliseconds since 1970; checked by the issuer only. */
     readonly expiresAt: number;
 }
@@ -24,8 +24,8 @@
 
 /** Formats a token: its members, and a signature that only processes with the deployment's secret can create. */
 export function formatToken(secret: string, token: RequestToken): string {
-    const { issuer, address, sequence, customer, expiresAt } = token;
-    const payload = Buffer.from(JSON.stringify([issuer, address, sequence, customer, expiresAt])).toString("base64url");
+    const { issuer, address, sequence, account, expiresAt } = token;
+    const payload = Buffer.from(JSON.stringify([issuer, address, sequence, account, expiresAt])).toString("base64url");
     return `${payload}.${createSignature(secret, payload).toString("base64url")}`;
 }
 
@@ -48,6 +48,6 @@
         string,
         number,
     ];
-    const [issuer, address, sequence, customer, expiresAt] = members;
-    return ok({ issuer, address, sequence, customer, expiresAt });
+    const [issuer, address, sequence, account, expiresAt] = members;
+    return ok({ issuer, address, sequence, account, expiresAt });
 }
--- a/packages/tokens/test/tokens.test.ts
+++ b/packages/tokens/test/tokens.test.ts
@@ -4,7 +4,7 @@
 import { formatToken, type LedgerRecord, maxClockSkewMs, parseToken, TokenIssuer, TokenLedger } from "../src/index.js";
 
 const secret = "a secret of sixteen characters";
-const token = { issuer: "gateway#1", address: "127.0.0.1:1", sequence: 7, customer: "depot", expiresAt: 1000 };
+const token = { issuer: "gateway#1", address: "127.0.0.1:1", sequence: 7, account: "depot", expiresAt: 1000 };
 const answer = { status: 200, contentType: "application/json", body: new Uint8Array([1, 2, 3]) };
 
 test("a token parses to the values that it was issued with", () => {
@@ -63,20 +63,20 @@
         const body = new Uint8Array(sequence === 3 ? 4 : 3);
         ledger.recordOutcome(sequence, { kind: "complete", answer: { ...answer, body } });
     }
-    const kept = [1, 2, 3].map(sequence => {
+    const hasResponse = [1, 2, 3].map(sequence => {
         const claim = ledger.claim(sequence, "d", 1000, 0);
         return claim.kind === "spent" && claim.outcome.kind === "complete" && claim.outcome.answer !== undefined;
     });
-    assert.equal(kept, [false, true, false]);
+    assert.equal(hasResponse, [false, true, false]);
 });
 
 test("after a handover the old ledger grants no claim, and the handover target grants unused tokens only", () => {
-    const old = new TokenLedger({ issuer: "gateway#1" });
-    old.claim(1, "d", 1000, 0);
-    old.recordOutcome(1, { kind: "complete", answer });
-    old.claim(2, "d", 1000, 0);
-    const record: LedgerRecord = old.seal(5000);
-    assert.is(old.claim(3, "d", 1000, 0).kind, "expired");
+    const oldLedger = new TokenLedger({ issuer: "gateway#1" });
+    oldLedger.claim(1, "d", 1000, 0);
+    oldLedger.recordOutcome(1, { kind: "complete", answer });
+    oldLedger.claim(2, "d", 1000, 0);
+    const record: LedgerRecord = oldLedger.seal(5000);
+    assert.is(oldLedger.claim(3, "d", 1000, 0).kind, "expired");
     const targetLedger = new TokenLedger({ issuer: "gateway#1" });
     targetLedger.adopt(record);
     assert.is(targetLedger.claim(1, "d", 1000, 0).kind, "spent");
@@ -89,12 +89,12 @@
 // The rejected alternative, which runs a request twice.
 
 interface MembershipView {
-    readonly alive: readonly string[];
+    readonly liveGateways: readonly string[];
 }
 
-/** The gateway responsible for a caller's own key, by hashing over the gateways that `view` lists as alive. */
+/** The gateway responsible for a caller's own key, by hashing over the gateways that `view` lists as live. */
 function findResponsibleGateway(key: number, view: MembershipView): string {
-    return view.alive[key % view.alive.length]!;
+    return view.liveGateways[key % view.liveGateways.length]!;
 }
 
 test("choosing the responsible gateway by hashing runs a request twice when views of the live gateways differ", () => {
@@ -109,9 +109,9 @@
             runs++;
         }
     };
-    sendRequest(1, { alive: ["g1", "g2", "g3"] });
+    sendRequest(1, { liveGateways: ["g1", "g2", "g3"] });
     // Retried through a gateway that has no link to g2.
-    sendRequest(1, { alive: ["g1", "g3"] });
+    sendRequest(1, { liveGateways: ["g1", "g3"] });
     assert.is(runs, 2);
 });
 
