--- a/packages/agent/src/progress.ts
+++ b/packages/agent/src/progress.ts
@@ -43,9 +43,9 @@
 
     /** Lists the data centres of `expected` in which some node is not known to have `version`. */
     listBehind(version: number, expected: readonly string[]): string[] {
-        const reached = new Set(
+        const upToDate = new Set(
             this.list().filter(progress => progress.lowestVersion >= version).map(progress => progress.dataCentre),
         );
-        return expected.filter(dataCentre => !reached.has(dataCentre));
+        return expected.filter(dataCentre => !upToDate.has(dataCentre));
     }
 }
--- a/packages/gateway/src/completions.ts
+++ b/packages/gateway/src/completions.ts
@@ -130,8 +130,14 @@
     protected override recordEnd(engineId: string, end: UpstreamEnd): void {
         const { control } = this.completionContext;
         const { model } = this.completion;
-        const isSure = end.isSure ?? true;
-        const isLast = control.uses.remove(engineId, model, this.request.account.class, isSure, control.nextSequence);
+        const isConfirmed = end.isConfirmed ?? true;
+        const isLast = control.uses.remove(
+            engineId,
+            model,
+            this.request.account.class,
+            isConfirmed,
+            control.nextSequence,
+        );
         if (isLast && !control.leases.isLeased(engineId, model, readInstant())) {
             control.renewAfterRelease();
         }
--- a/packages/gateway/src/run.ts
+++ b/packages/gateway/src/run.ts
@@ -24,7 +24,7 @@
     readonly verdict: Exclude<Verdict, { kind: "refused"; }>;
     readonly isLeaving: boolean;
     /** Whether the upstream itself confirmed that the request ended. */
-    readonly isSure?: boolean;
+    readonly isConfirmed?: boolean;
 }
 
 /** Options of {@link UpstreamRun}. */
--- a/packages/gateway/test/simulation.ts
+++ b/packages/gateway/test/simulation.ts
@@ -412,27 +412,27 @@
                 this.engine.running.set(model, (this.engine.running.get(model) ?? 0) + 1);
             }
             const durationMs = isRun ? this.random() ** 2 * leaseMs : 0;
-            const isSure = this.random() > 0.1;
+            const isConfirmed = this.random() > 0.1;
             // After a caller disconnects, the gateway ends the use before the engine has stopped the request.
-            const stopLagMs = isSure ? 0 : this.random() * reportLagMs;
+            const stopLagMs = isConfirmed ? 0 : this.random() * reportLagMs;
             this.schedule(this.now + durationMs + stopLagMs, () => {
                 if (isRun) {
                     this.engine.running.set(model, this.engine.running.get(model)! - 1);
                 }
             });
             this.schedule(
-                this.now + durationMs + (isSure ? this.readDelay() : 0),
-                () => this.finish(gateway, model, isSure),
+                this.now + durationMs + (isConfirmed ? this.readDelay() : 0),
+                () => this.finish(gateway, model, isConfirmed),
             );
         });
     }
 
-    private finish(gateway: SimulatedGateway, model: string, isSure: boolean): void {
+    private finish(gateway: SimulatedGateway, model: string, isConfirmed: boolean): void {
         if (this.now < gateway.pausedUntil) {
-            this.schedule(gateway.pausedUntil, () => this.finish(gateway, model, isSure));
+            this.schedule(gateway.pausedUntil, () => this.finish(gateway, model, isConfirmed));
             return;
         }
-        gateway.uses.remove(engineId, model, "paying", isSure, gateway.sequence + 1);
+        gateway.uses.remove(engineId, model, "paying", isConfirmed, gateway.sequence + 1);
     }
 
     private readDelay(): number {
--- a/packages/membership/src/owners.ts
+++ b/packages/membership/src/owners.ts
@@ -7,9 +7,9 @@
 
 /** Ranks nodes for a key by rendezvous hashing, best first. Adding or removing a node moves only that node's keys. */
 export function rankNodes(key: string, nodes: readonly string[]): string[] {
-    const weighed = nodes.map(node => ({ node, weight: readWeight(key, node) }));
-    weighed.sort((left, right) => right.weight - left.weight || (left.node < right.node ? -1 : 1));
-    return weighed.map(({ node }) => node);
+    const weightedNodes = nodes.map(node => ({ node, weight: readWeight(key, node) }));
+    weightedNodes.sort((left, right) => right.weight - left.weight || (left.node < right.node ? -1 : 1));
+    return weightedNodes.map(({ node }) => node);
 }
 
 /** The first node of {@link rankNodes}, found without sorting; undefined without nodes. */
--- a/packages/placement/src/owner.ts
+++ b/packages/placement/src/owner.ts
@@ -133,7 +133,7 @@
                 return [];
             case "renew":
                 this.leases.renew(event.gateway, event.grantVersion, event.uses, now);
-                this.receiveUnsure(event.unsure, now);
+                this.receiveUnconfirmed(event.unsure, now);
                 return [];
             case "order":
                 return this.receiveOrder(event.action, event.engineId, event.model, now);
@@ -276,7 +276,7 @@
 
     // Leases.
 
-    private receiveUnsure(unsure: readonly LeaseUse[], now: number): void {
+    private receiveUnconfirmed(unsure: readonly LeaseUse[], now: number): void {
         for (const { engineId, model } of unsure) {
             const slot = this.engines.get(engineId)?.models.get(model);
             if (slot !== undefined) {
--- a/packages/upstreams/src/completion.ts
+++ b/packages/upstreams/src/completion.ts
@@ -56,7 +56,7 @@
 export interface CompletionEnd {
     readonly verdict: Exclude<Verdict, { kind: "refused"; }>;
     /** The request no longer runs on the engine: the engine responded in full, or the request never reached it. */
-    readonly isSure: boolean;
+    readonly isConfirmed: boolean;
     /** The engine reported that it is leaving. */
     readonly isLeaving: boolean;
 }
@@ -172,18 +172,18 @@
         if (this.rejection !== undefined) {
             return {
                 verdict: createMayHaveRun(this.rejection.reason, this.rejection.detail),
-                isSure: false,
+                isConfirmed: false,
                 isLeaving,
             };
         }
         if (end.kind === "broken") {
             return {
                 verdict: this.createBrokenVerdict(end.phase, end.reason, end.detail),
-                isSure: end.phase === "connecting",
+                isConfirmed: end.phase === "connecting",
                 isLeaving,
             };
         }
-        return { verdict: this.createResponseVerdict(), isSure: true, isLeaving };
+        return { verdict: this.createResponseVerdict(), isConfirmed: true, isLeaving };
     }
 
     private createBrokenVerdict(
--- a/packages/upstreams/test/exchange.test.ts
+++ b/packages/upstreams/test/exchange.test.ts
@@ -100,7 +100,7 @@
     await once(closed, "close");
     const { end } = await runCompletion(new UpstreamConnections(), `127.0.0.1:${port}`, true);
     assert.is(end.verdict.kind, "notRun");
-    assert.ok(end.isSure);
+    assert.ok(end.isConfirmed);
 });
 
 test("a request whose lease expires before the write is not sent", () =>
--- a/test/tokens.test.ts
+++ b/test/tokens.test.ts
@@ -135,12 +135,12 @@
         assert.is((await printLabel(gateway!, token!, 1)).status, 200);
         const other = await printLabel(gateway!, token!, 2);
         assert.is(readProblem(other.body).reason, "requestTokenMismatch");
-        const stolen = await sendRequest(gateway!.callers, "/v1/chat/completions", {
+        const foreignUse = await sendRequest(gateway!.callers, "/v1/chat/completions", {
             key: "trial-key",
             headers: { "x-request-token": token! },
             body: { model: "declaration@1", messages: [] },
         });
-        assert.is(readProblem(stolen.body).reason, "requestTokenOfAnother");
+        assert.is(readProblem(foreignUse.body).reason, "requestTokenOfAnother");
     }));
 
 test.run();
