--- a/packages/gateway/src/uses.ts
+++ b/packages/gateway/src/uses.ts
@@ -1,5 +1,5 @@
-import type { CustomerClass } from "@radishreel/dispatch";
-import type { Use } from "@radishreel/protocol";
+import type { AccountClass } from "@radishreel/dispatch";
+import type { ModelUse } from "@radishreel/protocol";
 
 interface MutableUse {
     readonly engineId: string;
@@ -12,13 +12,13 @@
 export class UseCounter {
     private readonly uses = new Map<string, MutableUse>();
     /** Uses whose end the engine did not confirm, and the first renewal that reports them. */
-    private readonly unconfirmed = new Map<string, { use: Use; since: number; }>();
+    private readonly unconfirmed = new Map<string, { use: ModelUse; since: number; }>();
 
     /** Counts a request that is being dispatched. */
-    add(engineId: string, model: string, customerClass: CustomerClass): void {
+    add(engineId: string, model: string, accountClass: AccountClass): void {
         const key = formatKey(engineId, model);
         const use = this.uses.get(key) ?? { engineId, model, paying: 0, trial: 0 };
-        use[customerClass]++;
+        use[accountClass]++;
         this.uses.set(key, use);
     }
 
@@ -30,7 +30,7 @@
     remove(
         engineId: string,
         model: string,
-        customerClass: CustomerClass,
+        accountClass: AccountClass,
         isConfirmed: boolean,
         sequence: number,
     ): boolean {
@@ -39,7 +39,7 @@
         if (use === undefined) {
             return false;
         }
-        use[customerClass]--;
+        use[accountClass]--;
         if (!isConfirmed) {
             this.unconfirmed.set(key, { use: { engineId, model, paying: 0, trial: 0 }, since: sequence });
         }
@@ -50,11 +50,11 @@
         return isLast;
     }
 
-    list(): Use[] {
+    list(): ModelUse[] {
         return [...this.uses.values()].map(use => ({ ...use }));
     }
 
-    listUnconfirmed(): Use[] {
+    listUnconfirmed(): ModelUse[] {
         return [...this.unconfirmed.values()].map(({ use }) => use);
     }
 
