--- a/packages/fleet/test/burst.test.ts
+++ b/packages/fleet/test/burst.test.ts
@@ -3,8 +3,8 @@
  * target of 1 s while engines were idle. Half of them were sent within 13 ms of their arrival, but their first event
  * came after 1.6 s in place of the expected 0.4 s. All VMs receive an engine's load at the same time, once in 1.1 s at
  * that size, and until the next status all of them send to the engine that was idle then: in the 1.5 s before a late
- * request, a third of the VMs alone sent 3 others to the same engine. The owner knew the current load, but admitted
- * every request whose adapter was loaded.
+ * request, a third of the VMs alone sent 3 others to the same engine, against fewer than one before a request that met
+ * the target. The owner knew the current load, but admitted every request whose adapter was loaded.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
--- a/packages/fleet/test/slotplanner.test.ts
+++ b/packages/fleet/test/slotplanner.test.ts
@@ -45,7 +45,7 @@
 
 // Guards against orders for more adapters than an engine has slots. A VM that requests a report within 250 ms of its
 // start, on a clock that starts there, must not treat the report as older than its own state: it would count occupied
-// slots as free.
+// slots as free, for example seven of eight.
 test("a report right after the start of a process is applied", () => {
     const engine = new SimulatedEngine();
     engine.now = 60;
