--- a/packages/fleet/src/basemodels.ts
+++ b/packages/fleet/src/basemodels.ts
@@ -58,8 +58,8 @@
 
     /**
      * The base model that an empty engine loads without waiting for a request. Requests go to other engines as long as
-     * the engine is empty, so that it would stay empty. With several models the first request decides which one is
-     * loaded.
+     * this engine is empty, so that without this load the engine would stay empty. With several models the first
+     * request decides which model is loaded.
      */
     findModelToPreload(): string | undefined {
         const { models } = this.options.limits;
--- a/packages/fleet/src/loadtimes.ts
+++ b/packages/fleet/src/loadtimes.ts
@@ -23,7 +23,8 @@
 const floorMarginMs = 5;
 
 /**
- * A load expected to be from host memory that takes longer than this share of a load from the store was from the store.
+ * If a load that was expected to come from host memory takes longer than this share of a load from the weight store,
+ * the adapter came from the weight store.
  */
 const minColdShare = 0.6;
 
--- a/packages/fleet/src/quota.ts
+++ b/packages/fleet/src/quota.ts
@@ -79,7 +79,7 @@
     /** Integral of the share over time, in seconds of the whole quotas. */
     private filledSeconds = 0;
     private advancedAt = -Infinity;
-    /** The share of their bursts to which balances are limited; see {@link boundUpdateStep}. */
+    /** Share of an account's burst to which its balance is limited; see {@link boundUpdateStep}. */
     private boundShare = 0;
     /** Value of {@link filledSeconds} from which the balances of new accounts are filled. */
     private newBalancesFilledAt = 0;
--- a/packages/fleet/src/rank.ts
+++ b/packages/fleet/src/rank.ts
@@ -21,9 +21,9 @@
 
 /**
  * Orders items for a key by rendezvous hashing, the same on every VM: adding or removing an item changes the first
- * choice only of keys that gain or lose that item. The first engines of an adapter are its preferred ones: it returns
- * to an engine that held it recently and still has it in host memory, from where it loads in a tenth of the time. The
- * order is computed over all engines for each request, for which a cryptographic hash would be too slow.
+ * choice only of keys that gain or lose that item. The first engines of an adapter are its preferred engines: the
+ * adapter returns to an engine that held it recently and still has it in host memory, from where it loads in a tenth of
+ * the time. The order is computed over all engines for each request, for which a cryptographic hash would be too slow.
  */
 export function rankByRendezvous<Item extends { readonly id: string; }>(
     key: string,
--- a/packages/fleet/src/slotplanner.ts
+++ b/packages/fleet/src/slotplanner.ts
@@ -310,8 +310,8 @@
 
     /**
      * Empties the load queue of an engine that cannot be reached, so that its requests try other engines at once. A
-     * crashed engine keeps its registry entry for about 3 s, in which loads would queue for it in vain: eleven did so at
-     * one of six engines, of which two were gone.
+     * crashed engine keeps its registry entry for about 3 s, in which loads would queue for it in vain: eleven did so
+     * at one of six engines, of which two were gone.
      */
     private recordUnreachable(now: number): void {
         this.queue.removeAll();
--- a/packages/fleet/src/warmadapters.ts
+++ b/packages/fleet/src/warmadapters.ts
@@ -1,7 +1,4 @@
-/**
- * Number of adapters that an engine keeps in host memory per slot, as an estimate: engines keep about six times as many
- * as they have slots.
- */
+/** Estimated number of adapters that an engine keeps in host memory for each of its slots. */
 const warmAdaptersPerSlot = 6;
 
 /** Lower bound of the adapters in host memory, for an engine whose number of slots is not known yet. */
