--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -265,7 +265,8 @@
 }
 
 /**
- * Cost of a long prompt's delay of the long responses on an engine, or of a recent long prompt to a new long response.
+ * Cost of delays between requests on an engine, in milliseconds: for a long prompt, the long responses that it would
+ * delay; for a long response, a recent long prompt that would delay it.
  */
 function readLongPromptCost(
     options: EngineChoiceOptions,
--- a/packages/fleet/src/quota.ts
+++ b/packages/fleet/src/quota.ts
@@ -24,7 +24,7 @@
     readonly windowMs: number;
     /** Part of a quota by which the usage within the window may exceed it. */
     readonly overage: number;
-    /** Usage that is allowed within the window beyond that, in units of the quotas. */
+    /** Usage that is allowed within the window beyond the quota and the overage, in units of the quotas. */
     readonly slack: number;
 }
 
--- a/packages/fleet/src/shardleases.ts
+++ b/packages/fleet/src/shardleases.ts
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Extends the leases by another VM's report that the store confirmed its renewal, sent at `sentAt`, with this
-     * generation: if the generation is the one of this VM's leases, they were valid then.
+     * Extends the leases after another VM reported that the store confirmed that VM's own renewal, sent at `sentAt`,
+     * with this generation. If this VM's leases are of the same generation, they were valid at that time.
      * @returns By how much the leases are extended, in milliseconds.
      */
     applyPeerRenewal(generation: number, sentAt: number): number {
@@ -191,9 +191,9 @@
 
     /**
      * Extends the leases when most VMs, asked at `askedAt`, report that they do not reach the store either and hold
-     * none of this VM's shards. A VM among them that is assigned one later waits a lease duration before its first
-     * order. This does not cover a VM that none of them reaches and that alone reaches the store. Once a later
-     * generation is known, any VM may hold the shards, and the leases are not extended.
+     * none of this VM's shards. A VM among them to which the store later assigns one of the shards waits a lease
+     * duration before its first order. The extension does not cover a VM that none of them reaches and that alone
+     * reaches the store. Once a later generation is known, any VM may hold the shards, and the leases are not extended.
      * @returns By how much the leases are extended, in milliseconds.
      */
     applyStoreOutage(askedAt: number): number {
--- a/packages/fleet/src/slot.ts
+++ b/packages/fleet/src/slot.ts
@@ -25,7 +25,7 @@
 export interface AdapterSlot {
     /** `retiring`: no more requests are admitted, and an unload order follows. */
     state: "loaded" | "loading" | "retiring" | "unloading" | "unknown";
-    /** 0 if the adapter was ordered without a version, since the operator had named none. */
+    /** 0 if the adapter was ordered without a version, since the operator had announced none. */
     version: number;
     checkAt: number;
     checkPauseMs: number;
--- a/packages/fleet/src/slotplanner.ts
+++ b/packages/fleet/src/slotplanner.ts
@@ -37,7 +37,7 @@
     readonly warm?: readonly string[];
     readonly sequence: number;
     readonly now: number;
-    /** Newest version of an adapter that the operator has named; loads request it. @default no version is known */
+    /** Newest announced version of an adapter; loads request this version. @default no version is known */
     readonly findNewest?: ((key: string) => number | undefined) | undefined;
 }
 
@@ -485,7 +485,7 @@
             : undefined;
     }
 
-    /** The version to load: the newest named version, so that the owner knows which version the engine then holds. */
+    /** The version to load: the newest announced one, so that the owner knows which version the engine then holds. */
     private findRequestedVersion(key: string, requested: number | undefined): number | undefined {
         const newest = Math.max(requested ?? 0, this.findNewest(key) ?? 0);
         return newest === 0 ? undefined : newest;
--- a/packages/fleet/test/overload.test.ts
+++ b/packages/fleet/test/overload.test.ts
@@ -6,9 +6,9 @@
 /**
  * One overloaded engine: requests with runs of 0.7 s and long runs of 1 to 8 s, each for another adapter, at 1.2 times
  * the capacity of nine slots. Callers wait 4 s for a first event, and the latency target is 1 s. Guards against loads
- * in the order of arrival, which make nearly all requests late, and against an order that starves the longest runs. Over
- * the three seeds, 0.12 of the requests are within the latency target in the order of arrival and 0.65 in the planner's
- * order; 0.85 and 0.92 are served.
+ * in the order of arrival, which make nearly all requests late, and against an order that starves the longest runs.
+ * Over the three seeds, 0.12 of the requests are within the latency target in the order of arrival and 0.65 in the
+ * planner's order; 0.85 and 0.92 are served.
  */
 const slots = 9;
 const latencyTargetMs = 1000;
