--- a/packages/fleet/src/permits.ts
+++ b/packages/fleet/src/permits.ts
@@ -26,7 +26,7 @@
         this.lifeMs = lifeMs ?? defaultLifetimeMs;
     }
 
-    /** Suspect requests that hold a permit. */
+    /** Number of suspect requests that hold a permit. */
     get permitCount(): number {
         return this.permits.size;
     }
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -112,12 +112,12 @@
         this.maxRequests = maxRequests ?? defaultMaxRequests;
     }
 
-    /** Tracked requests: those that ran when an upstream ended. */
+    /** Number of tracked requests: those that ran when an upstream ended. */
     get requestCount(): number {
         return this.crashTimes.size;
     }
 
-    /** Tracked requests that were dropped because the limit was reached. */
+    /** Number of tracked requests that were dropped because the limit was reached. */
     get droppedCount(): number {
         return this.dropped;
     }
