--- a/packages/node/src/requests/chooser.ts
+++ b/packages/node/src/requests/chooser.ts
@@ -41,16 +41,18 @@
 /** Assumed remainder of a wait that has lasted longer than expected, in milliseconds: about one load. */
 const overdueWaitMs = 250;
 
-/** How long a request penalises an engine whose owner was lost, in milliseconds. A new owner is reported by then. */
+/** How long a request penalises an engine whose owner was lost, in milliseconds. A new owner is known by then. */
 const lostOwnerPauseMs = 60;
 
 /** Penalty of an engine whose owner was lost, in milliseconds: less than the cost of a load elsewhere. */
 const lostOwnerPenaltyMs = 200;
 
-/** Minimum time between two admission requests of one job, in milliseconds, in which a lost owner is reported. */
+/**
+ * Minimum time between two admission requests of one job, in milliseconds. The loss of an owner is reported meanwhile.
+ */
 const minAskIntervalMs = 5;
 
-/** How long a request respects that an owner declined it, in milliseconds. */
+/** How long an engine whose owner declined a request is penalised for that request, in milliseconds. */
 const declinedPauseMs = 400;
 
 /** Maximum extra delay for using the newest version while an older version may still be used, in milliseconds. */
@@ -402,7 +404,10 @@
     return tried !== undefined && tried.costMs === Infinity && tried.until === Infinity;
 }
 
-/** Whether the best engine for a request recently declined it. No other engine can serve the request then. */
+/**
+ * Whether the owner of the chosen engine recently declined the request. The choice includes the penalty for that, so no
+ * other engine is expected to serve the request sooner.
+ */
 function hasDeclined(job: Job, choice: UpstreamChoice, now: number): boolean {
     const tried = job.tried.get(choice.state.upstream.id);
     return tried !== undefined && tried.hasDeclined && tried.until > now;
--- a/packages/node/src/requests/connections.ts
+++ b/packages/node/src/requests/connections.ts
@@ -12,7 +12,10 @@
 /** How long before the upstream's own idle timeout a connection is closed, in milliseconds. */
 const keepAliveMarginMs = 600;
 
-/** Minimum idle time before reuse, in milliseconds, so that a second response to the last request is noticed. */
+/**
+ * Minimum idle time before reuse, in milliseconds. If the upstream sends a second response to the last request in this
+ * time, that response is not taken for the response to the next request.
+ */
 const reuseDelayMs = 40;
 
 /** Maximum number of idle connections to one upstream. */
--- a/packages/node/src/requests/serving.ts
+++ b/packages/node/src/requests/serving.ts
@@ -39,8 +39,8 @@
 const defaultStartWaitMs = 300;
 
 /**
- * Bounds of `Retry-After` when all engines are full, in seconds. The caller retries after half of the time that its
- * request would have to wait now, so that the retry waits no longer than callers do.
+ * Bounds of `Retry-After` when all engines are full, in seconds. The caller is told to retry after half of the time
+ * that its request would have to wait now, so that the remaining wait can fit within the caller's time limit.
  */
 const minFullRetrySeconds = 0.25;
 const maxFullRetrySeconds = 2;
@@ -554,7 +554,8 @@
     }
 
     /**
-     * A plain response shows a slowdown by its total time. A stream shows it by its first event, so engines get 1 here.
+     * Returns the slowdown of a complete response; 1 means none. The slowdown of an engine is recorded at the first
+     * event of its stream, so this function returns 1 for engines.
      */
     private readResponseSlowdown(job: Job, ms: number): number {
         return job.service.engine === undefined ? ms / Math.max(30, job.route.aimMs / 4) : 1;
