--- a/packages/node/src/links/linklimits.ts
+++ b/packages/node/src/links/linklimits.ts
@@ -4,10 +4,10 @@
 const maxFrameBytes = 8 * 1024 * 1024;
 
 /**
- * Heartbeat intervals and the silence after which a link counts as dead, in milliseconds, in a full mesh: faults last
- * some seconds. Only the side that opened a link sends on it and acts on its loss, so that side receives heartbeats at
- * the shorter interval; the other side only needs to close links of VMs that are gone, or of paths that are cut in one
- * direction.
+ * Heartbeat intervals and the silence after which a link counts as dead, in milliseconds, in a full mesh. They are
+ * short because faults last only some seconds. Only the side that opened a link sends on it and acts on its loss,
+ * so that side receives heartbeats at the shorter interval; the other side only needs to close links of VMs that are
+ * gone, or of paths that are cut in one direction.
  */
 const meshLimits = resolveLinkLimits({
     heartbeatMs: 400,
--- a/packages/node/src/links/topology.ts
+++ b/packages/node/src/links/topology.ts
@@ -1,9 +1,9 @@
 import type { NodeIdentity } from "@radishreel/wire";
 
 /**
- * Number of other VMs up to which VMs form a full mesh. Beyond it only owners of engines are linked to all VMs, since
- * they admit requests, and each VM is linked to the first VMs of its data centre, which read the store for it. The
- * number of links then grows with the owners and not with the square of the VMs.
+ * Number of other VMs up to which VMs form a full mesh. Beyond this number, only owners of engines are linked to all
+ * VMs, since they admit requests, and each VM is linked to the first VMs of its data centre, which read the store for
+ * it. The number of links then grows with the owners and not with the square of the VMs.
  */
 const maxMeshPeers = 12;
 
@@ -42,7 +42,7 @@
 }
 
 /**
- * Lists the first VMs, by name, of the own data centre. One of these VMs is also linked to the first VMs of all other
+ * Lists the first VMs, by name, of the own data centre. If this VM is among them, also lists the first VMs of all other
  * data centres, so that the readers of the store learn of each other.
  */
 function listNeighbours({ self, members }: DesiredLinksOptions): KnownMember[] {
--- a/packages/node/src/ownership/ownership.ts
+++ b/packages/node/src/ownership/ownership.ts
@@ -9,7 +9,10 @@
 /** Extra wait of a new holder before its first order, beyond the lease duration, in milliseconds: two renewals. */
 const leaseSafetyMarginMs = 2 * renewMs;
 
-/** A VM without shards renews on every third tick only: it waits for an assignment, and its membership lasts 2.8 s. */
+/**
+ * A VM without shards renews on every third tick only: the VM just waits for an assignment, and stays a member of the
+ * group for 2.8 s after a renewal.
+ */
 const idleRenewalDivisor = 3;
 
 /** Age of the last confirmed renewal at which a holder queries the other VMs, in milliseconds. */
@@ -201,9 +204,9 @@
 
     /**
      * Starts to lease shards.
-     * @param previousEntry This VM's entry from before its start; undefined if it never ran. After a planned stop its
-     * shards were assigned to other VMs: it joins again only when it may use shards, so that they stay in use
-     * meanwhile.
+     * @param previousEntry This VM's entry from before its start; undefined if the VM never ran. A planned stop
+     * released the shards of this VM to other VMs. After such a stop, this VM joins the group only once it may use
+     * shards, so that the other VMs use these shards until then.
      */
     start(previousEntry: Member | undefined): void {
         if (previousEntry === undefined) {
@@ -286,8 +289,8 @@
             await this.sendRelease(releasableShards, generation, "stop");
         }
         else if (!isCutOff) {
-            // The store became unreachable just now. If it reassigned the shards nevertheless, the receiver learns this
-            // as any holder does.
+            // The store became unreachable just now. If it reassigned the shards nevertheless, the receiver learns the
+            // new generation from the store or from other VMs, like every holder of shards.
             this.sendHandover(handover);
         }
     }
@@ -420,7 +423,7 @@
 
     /**
      * Whether recent attempts of this VM to reach the store failed. A VM without recent attempts does not count as cut
-     * off: most VMs hold no shard and renew seldom, and a majority of them would extend the lease of a holder whose
+     * off: most VMs hold no shard and renew seldom, and a majority of such VMs would extend the lease of a holder whose
      * shards the store has reassigned.
      */
     private get isCutOff(): boolean {
