--- a/packages/node/src/crashes/monitor.ts
+++ b/packages/node/src/crashes/monitor.ts
@@ -53,6 +53,9 @@
     readonly upstream: Upstream;
     readonly brokenAt: number;
     readonly runs: BrokenRun[];
+    /**
+     * `asked`: the outcome is unknown; `listening`: the address accepted connections; `ended`: the process has ended.
+     */
     state: "asked" | "listening" | "ended";
     /** Resolves once the first probe has a result, or timed out. */
     readonly settled: Promise<void>;
--- a/packages/node/src/knowledge/cluster.ts
+++ b/packages/node/src/knowledge/cluster.ts
@@ -299,7 +299,8 @@
         const reachableForMs = now - this.storeRegainedAt;
         const upstream = this.findUpstreamByName(name);
         const isNearOutage = !this.hasStoreContact || reachableForMs < lapsedEntryGraceMs;
-        // An upstream that announced that it is leaving is gone. Any other may still run: it could not renew its entry.
+        // An upstream that announced that it is leaving is gone. Any other may still run and have failed to renew its
+        // entry.
         if (isNearOutage && upstream !== undefined && this.options.view.isUsable(upstream.id)) {
             this.lapsedNames.add(name);
             return;
--- a/packages/node/src/knowledge/isolation.ts
+++ b/packages/node/src/knowledge/isolation.ts
@@ -6,8 +6,8 @@
 
 /**
  * Silence after which a VM counts as isolated when VMs are linked only to owners of engines, in milliseconds. Each
- * owner sends a heartbeat every 2.5 s, so with 10 owners in other data centres four arrive per second. VMs renew their
- * shard leases every 1.2 s.
+ * owner sends a heartbeat every 2.5 s, so with 10 owners in other data centres four arrive per second. A VM without
+ * shards may call the store only every 1.2 s, to renew its membership.
  */
 const hubSilenceLimitMs = 2000;
 
--- a/packages/node/src/knowledge/sharing.ts
+++ b/packages/node/src/knowledge/sharing.ts
@@ -6,8 +6,8 @@
 import { defaultEntriesPauseMs, StoreReaders } from "./readers.js";
 
 /**
- * Time in which this VM should receive on its own what another VM has read, in pauses between reads. Readers send their
- * positions every 250 ms, which is less than a pause.
+ * Time after which this VM asks another VM for changes that it lacks, in pauses between reads of the store. The
+ * changes usually arrive earlier without a question. Readers send their positions every 250 ms, less than a pause.
  */
 const catchUpPauses = 2;
 
@@ -205,7 +205,7 @@
 
     /**
      * Asks VMs that have been ahead for long for the missing changes: either this VM has lost its connection to the
-     * store, or the VM ahead no longer has it as a follower.
+     * store, or the VM ahead no longer has this VM as a follower.
      */
     private askVmsAhead(): void {
         const now = this.options.readTime();
--- a/packages/node/src/options.ts
+++ b/packages/node/src/options.ts
@@ -17,8 +17,11 @@
     readonly seeds: readonly string[];
     /** Secret for links between VMs, the same on all VMs of a deployment. */
     readonly secret: string;
+    /** Retries allowed for each request, over all VMs. */
     readonly retryRatio: number;
+    /** Further retries allowed in one window, over all VMs together. */
     readonly retrySlack: number;
+    /** Duration of one window of the retry budget, in milliseconds. */
     readonly retryWindowMs: number;
     /** Bounds for client accounts. @default a key is accepted until this VM learns that the key was withdrawn */
     readonly accounts?: AccountBounds;
