--- a/packages/node/test/accountworld.ts
+++ b/packages/node/test/accountworld.ts
@@ -422,7 +422,9 @@
         return path;
     }
 
-    /** Checks that no request ran with a key revoked longer ago than allowed, and each under its key's account. */
+    /**
+     * Checks that no request ran with a key revoked longer ago than allowed, and that each ran under its key's account.
+     */
     checkKeys(): void {
         for (const request of this.arrived) {
             const requestText = JSON.stringify(request);
@@ -437,7 +439,7 @@
         }
     }
 
-    /** Checks that no request got 401 for a key that every configuration contains that may have been in force. */
+    /** Checks that no request got 401 for a key that is in each configuration that may have been in force. */
     checkDenials(): void {
         for (const { key, status, at } of this.refused.filter(refusal => refusal.status === 401)) {
             const versions = this.listInForce(at, at, bounds.configurationMs);
--- a/packages/node/test/ownership.test.ts
+++ b/packages/node/test/ownership.test.ts
@@ -163,8 +163,8 @@
     assert.is(readState().isCutOff, false);
 });
 
-// Guards against an order below the token of a newer holder: a VM is suspended while it opens a connection for an
-// order, and sends the order after the suspension.
+// Guards against an order with a lower token than that of a newer holder: a VM is suspended while it opens a connection
+// for an order, and sends the order after the suspension.
 test("an order whose VM is suspended while its connection opens is not sent after the suspension", async () => {
     for (let offsetMs = 0; offsetMs < 120; offsetMs += 7) {
         const world = await createWorld(["a", "b"]);
@@ -299,8 +299,9 @@
     world.checkOrders();
 });
 
-// Guards against an order below the own token of a VM. The VM is assigned a shard that it took over before. If it gives
-// the shard back when the source of the handover restarts, it starts again with a lower token.
+// Guards against an order with a lower token than an earlier order of the same VM. The VM is assigned a shard that it
+// took over before. If it gives the shard back when the source of the handover restarts, it starts again with a lower
+// token.
 test("a VM keeps a shard that it took over and was then assigned, after the source restarts", async () => {
     const world = await createHandover();
     world.endOutage(true);
