--- a/packages/node/src/ownership/ownership.ts
+++ b/packages/node/src/ownership/ownership.ts
@@ -65,7 +65,15 @@
 /** Why a VM released shards. */
 type ReleaseReason = "stop" | "renewal" | "toldByPeer";
 
-/** Counted events of shard leases. */
+/**
+ * Counted events of shard leases:
+ *
+ * - `releaseSent`: this VM notified the others of released shards.
+ * - `releaseUsed`, `releaseUnused`: a release of another VM arrived, and did or did not shorten a wait of this VM.
+ * - `prolongedByWitness`: leases were extended by the renewal of another VM in the same generation.
+ * - `prolongedByAllClear`: leases were extended because most VMs are cut off from the store as well.
+ * - `...Claim`: orders to an engine became allowed, by the {@link LeaseReason}.
+ */
 export type LeaseEvent =
     | "releaseSent"
     | "releaseUsed"
@@ -101,7 +109,9 @@
 /** Shards that a stopping VM hands over while the store is unreachable. */
 export interface Handover {
     readonly shards: number[];
+    /** Generation of the assignment by which the sender held the shards. */
     readonly deal: number;
+    /** Highest number of successive handovers of any of these shards within the generation, this one included. */
     readonly depth: number;
     /** Processes that handed the shards over, one after the other. */
     readonly givers: readonly HandoverSource[];
