--- a/packages/node/src/accounts/quotas.ts
+++ b/packages/node/src/accounts/quotas.ts
@@ -169,8 +169,8 @@
                 });
                 return;
             case "quotaAnswer":
-                // The cost of a claim that timed out is not returned: whether its coordinator counts it matters only
-                // for a short time.
+                // The cost of a claim that timed out is not returned: its coordinator may count it or not, and
+                // the balance soon refills.
                 this.pendingClaims.get(message.ticket)?.finish(message.verdict);
                 return;
             case "returnQuota":
--- a/packages/node/src/program.ts
+++ b/packages/node/src/program.ts
@@ -272,7 +272,7 @@
         this.hasReadMembers = true;
         this.log.recordImportant("past", { ...this.previousMember });
         if (this.previousMember?.generation !== undefined) {
-            // VMs that took over the shards of this VM must learn that this VM runs again.
+            // VMs that took over the shards of this VM must learn that this VM runs again, so this VM links to all VMs.
             this.peers.setHub(true);
         }
         this.ownership?.start(this.previousMember);
