--- a/packages/node/test/schedule.ts
+++ b/packages/node/test/schedule.ts
@@ -5,8 +5,8 @@
 
     add(waitMs: number, run: () => void): void {
         const at = this.now + waitMs;
-        // The next callback to run is last in the list; callbacks due at the same time run in the order in
-        // which they were added.
+        // The next callback to run is last in the list; callbacks due at the same time run in the order in which
+        // they were added.
         let [low, high] = [0, this.runs.length];
         while (low < high) {
             const middle = (low + high) >> 1;
