--- a/packages/node/src/ownership/ownership.ts
+++ b/packages/node/src/ownership/ownership.ts
@@ -9,7 +9,10 @@
 /** Extra wait of a new holder before its first order, beyond the lease duration, in milliseconds: two renewals. */
 const leaseSafetyMarginMs = 2 * renewMs;
 
-/** A VM without shards renews on every third tick only: it waits for an assignment, and its membership lasts 2.8 s. */
+/**
+ * A VM without shards renews on every third tick only: the VM just waits for an assignment, and stays a member of the
+ * group for 2.8 s after a renewal.
+ */
 const idleRenewalDivisor = 3;
 
 /** Age of the last confirmed renewal at which a holder queries the other VMs, in milliseconds. */
@@ -62,7 +65,15 @@
 /** Why a VM released shards. */
 type ReleaseReason = "stop" | "renewal" | "toldByPeer";
 
-/** Counted events of shard leases. */
+/**
+ * Counted events of shard leases:
+ *
+ * - `releaseSent`: this VM notified the others of released shards.
+ * - `releaseUsed`, `releaseUnused`: a release of another VM arrived, and did or did not shorten a wait of this VM.
+ * - `prolongedByWitness`: leases were extended by the renewal of another VM in the same generation.
+ * - `prolongedByAllClear`: leases were extended because most VMs are cut off from the store as well.
+ * - `...Claim`: orders to an engine became allowed, by the {@link LeaseReason}.
+ */
 export type LeaseEvent =
     | "releaseSent"
     | "releaseUsed"
@@ -98,7 +109,9 @@
 /** Shards that a stopping VM hands over while the store is unreachable. */
 export interface Handover {
     readonly shards: number[];
+    /** Generation of the assignment by which the sender held the shards. */
     readonly deal: number;
+    /** Highest number of successive handovers of any of these shards within the generation, this one included. */
     readonly depth: number;
     /** Processes that handed the shards over, one after the other. */
     readonly givers: readonly HandoverSource[];
@@ -201,9 +214,9 @@
 
     /**
      * Starts to lease shards.
-     * @param previousEntry This VM's entry from before its start; undefined if it never ran. After a planned stop its
-     * shards were assigned to other VMs: it joins again only when it may use shards, so that they stay in use
-     * meanwhile.
+     * @param previousEntry This VM's entry from before its start; undefined if the VM never ran. A planned stop
+     * released the shards of this VM to other VMs. After such a stop, this VM joins the group only once it may use
+     * shards, so that the other VMs use these shards until then.
      */
     start(previousEntry: Member | undefined): void {
         if (previousEntry === undefined) {
@@ -286,8 +299,8 @@
             await this.sendRelease(releasableShards, generation, "stop");
         }
         else if (!isCutOff) {
-            // The store became unreachable just now. If it reassigned the shards nevertheless, the receiver learns this
-            // as any holder does.
+            // The store became unreachable just now. If it reassigned the shards nevertheless, the receiver learns the
+            // new generation from the store or from other VMs, like every holder of shards.
             this.sendHandover(handover);
         }
     }
@@ -420,7 +433,7 @@
 
     /**
      * Whether recent attempts of this VM to reach the store failed. A VM without recent attempts does not count as cut
-     * off: most VMs hold no shard and renew seldom, and a majority of them would extend the lease of a holder whose
+     * off: most VMs hold no shard and renew seldom, and a majority of such VMs would extend the lease of a holder whose
      * shards the store has reassigned.
      */
     private get isCutOff(): boolean {
