--- a/packages/fleet/src/choose.ts
+++ b/packages/fleet/src/choose.ts
@@ -41,8 +41,7 @@
 /**
  * Cost of each rank below an adapter's preferred engine when the adapter must be loaded from the weight store, in
  * milliseconds. If no VM knows which engine held the adapter recently, the preferred engine is the most likely, and VMs
- * that request admission at the same time agree on it. At 110 ms the preference outweighs the load of the engines: a
- * run without faults scored 0.686, and 0.710 at 30 ms. docs/MEASUREMENTS.md also lists runs with the opposite result.
+ * that request admission at the same time agree on it. At 110 ms the preference outweighs the load of the engines.
  */
 const preferenceRankCostMs = 30;
 
--- a/packages/fleet/src/warmadapters.ts
+++ b/packages/fleet/src/warmadapters.ts
@@ -1,4 +1,7 @@
-/** Estimated number of adapters that an engine keeps in host memory for each of its slots. */
+/**
+ * Number of adapters that an engine keeps in host memory per slot, as an estimate: engines keep about six times as many
+ * as they have slots.
+ */
 const warmAdaptersPerSlot = 6;
 
 /** Lower bound of the adapters in host memory, for an engine whose number of slots is not known yet. */
