--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-/** Upstreams that must have ended while they ran a request before the request is refused; the required limit. */
+/** Upstreams that must have ended while they ran a request before the request is refused. Users require this number. */
 const defaultMaxEnds = 3;
 
 /**
--- a/packages/fleet/test/admission.test.ts
+++ b/packages/fleet/test/admission.test.ts
@@ -95,10 +95,10 @@
     admission.handleRequest("a", createRequest(2, { patienceMs: 1200 }), engine.now);
     // The running request takes far longer than its caller estimated.
     run(600);
-    const declined = replies.findIndex(({ reply: reply }) => reply.kind === "declined");
+    const declined = replies.findIndex(({ reply }) => reply.kind === "declined");
     assert.is(declined >= 0 || engine.now < 1500, true);
     run(700);
-    assert.equal(replies.map(({ reply: reply }) => [reply.kind, reply.ticket]), [["declined", 2]]);
+    assert.equal(replies.map(({ reply }) => [reply.kind, reply.ticket]), [["declined", 2]]);
 });
 
 test("an adapter counts as in use until the latest possible end of a request whose VM is gone", () => {
@@ -133,7 +133,7 @@
     run(100);
     admission.setRuns("a", [], engine.now);
     run(300);
-    assert.equal(replies.map(({ reply: reply }) => [reply.kind, reply.ticket]), [["admitted", 1]]);
+    assert.equal(replies.map(({ reply }) => [reply.kind, reply.ticket]), [["admitted", 1]]);
 });
 
 test("a request that needs the newest version is not admitted to an older version", () => {
@@ -148,7 +148,7 @@
         "queued",
     );
     run(700);
-    assert.equal(replies.map(({ reply: reply }) => reply), [{ kind: "admitted", ticket: 2, version: 2 }]);
+    assert.equal(replies.map(({ reply }) => reply), [{ kind: "admitted", ticket: 2, version: 2 }]);
 });
 
 test("a request for a base model is declined when the engine no longer holds the model", () => {
@@ -179,7 +179,7 @@
         "queued",
     );
     run(600);
-    assert.equal(replies.map(({ reply: reply }) => reply.kind), ["admitted", "admitted", "admitted", "admitted"]);
+    assert.equal(replies.map(({ reply }) => reply.kind), ["admitted", "admitted", "admitted", "admitted"]);
 });
 
 test.run();
